--- a/agatetrestle/src/admission/queue.rs
+++ b/agatetrestle/src/admission/queue.rs
@@ -16,7 +16,7 @@
 
 /// A waiting call.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Ticket {
+pub struct QueuedCall {
     /// The lowest goes first.
     pub rank: u64,
     /// Equal ranks go in order of entry.
@@ -38,7 +38,7 @@
 struct Team {
     weight: u64,
     served: u64,
-    waiting: BTreeSet<Ticket>,
+    waiting: BTreeSet<QueuedCall>,
 }
 
 #[derive(Debug, Default)]
@@ -81,7 +81,7 @@
     }
 
     /// Sets the weight of a partner's team and of the partner.
-    pub fn weigh(&mut self, owner: &Owner, partner: u32, team: u32) {
+    pub fn set_weights(&mut self, owner: &Owner, partner: u32, team: u32) {
         let entry = self.partners.entry(owner.partner.clone()).or_default();
         entry.weight = u64::from(partner.max(1));
         entry.teams.entry(owner.team.clone()).or_default().weight = u64::from(team.max(1));
@@ -89,7 +89,7 @@
 
     /// Adds a waiting call. One that was idle starts level with the others, without credit for
     /// the time in which it asked for nothing.
-    pub fn push(&mut self, owner: &Owner, ticket: Ticket) {
+    pub fn push(&mut self, owner: &Owner, ticket: QueuedCall) {
         let partner = self.partners.entry(owner.partner.clone()).or_default();
         if partner.waiting == 0 {
             partner.served = partner.served.max(self.reached.saturating_sub(self.slack));
@@ -105,7 +105,7 @@
     }
 
     /// Takes out the call that goes next.
-    pub fn pop(&mut self) -> Option<(Owner, Ticket)> {
+    pub fn pop(&mut self) -> Option<(Owner, QueuedCall)> {
         let slack = self.slack;
         let least = self.partners.values().filter(|p| p.waiting > 0).map(|p| p.served).min()?;
         let bound = least.saturating_add(slack);
@@ -122,7 +122,7 @@
     }
 
     /// Takes out one call.
-    pub fn remove(&mut self, owner: &Owner, ticket: Ticket) -> bool {
+    pub fn remove(&mut self, owner: &Owner, ticket: QueuedCall) -> bool {
         let Some(partner) = self.partners.get_mut(&owner.partner) else {
             return false;
         };
@@ -162,7 +162,7 @@
 }
 
 impl Partner {
-    fn next(&self, slack: u64) -> Option<(Arc<str>, Ticket)> {
+    fn next(&self, slack: u64) -> Option<(Arc<str>, QueuedCall)> {
         let waiting = || self.teams.iter().filter(|(_, team)| !team.waiting.is_empty());
         let least = waiting().map(|(_, team)| team.served).min()?;
         let bound = least.saturating_add(slack);
--- a/agatetrestle/src/admission/retry.rs
+++ b/agatetrestle/src/admission/retry.rs
@@ -23,7 +23,7 @@
     }
 
     /// Counts a success.
-    pub fn succeeded(&mut self, partner: &Arc<str>) {
+    pub fn record_success(&mut self, partner: &Arc<str>) {
         let earned = self.earned;
         if let Some(saved) = self.saved.get_mut(partner) {
             *saved = (*saved + earned).min(MOST_SAVED);
@@ -44,7 +44,7 @@
 
     /// Retries left, in hundredths.
     #[must_use]
-    pub fn left(&self, partner: &Arc<str>) -> u64 {
+    pub fn remaining(&self, partner: &Arc<str>) -> u64 {
         self.saved.get(partner).copied().unwrap_or(AT_START)
     }
 }
--- a/agatetrestle/src/admission/tests.rs
+++ b/agatetrestle/src/admission/tests.rs
@@ -13,12 +13,12 @@
 use proptest::test_runner::TestRunner;
 use slotmap::SlotMap;
 
-use crate::admission::door::Door;
 use crate::admission::queue::CallKey;
 use crate::admission::queue::FairQueue;
 use crate::admission::queue::Owner;
-use crate::admission::queue::Ticket;
+use crate::admission::queue::QueuedCall;
 use crate::admission::retry::RetryBudgets;
+use crate::admission::tokens::TokenAdmission;
 
 const SLACK: u64 = 1_000;
 const LARGEST_SERVICE: u64 = 500;
@@ -40,7 +40,7 @@
         let mut keys: SlotMap<CallKey, ()> = SlotMap::with_key();
         let mut queue = FairQueue::new(SLACK, SLACK);
         for (sequence, (partner, team, rank)) in (0u64..).zip(&pushes) {
-            let ticket = Ticket { rank: *rank, sequence, call: keys.insert(()) };
+            let ticket = QueuedCall { rank: *rank, sequence, call: keys.insert(()) };
             queue.push(&owner(*partner, *team), ticket);
         }
         prop_assert_eq!(queue.len(), pushes.len());
@@ -63,12 +63,12 @@
         let mut keys: SlotMap<CallKey, ()> = SlotMap::with_key();
         let mut queue = FairQueue::new(SLACK, SLACK);
         let owners = [owner(0, 0), owner(1, 0)];
-        queue.weigh(&owners[0], first, 1);
-        queue.weigh(&owners[1], second, 1);
+        queue.set_weights(&owners[0], first, 1);
+        queue.set_weights(&owners[1], second, 1);
         for sequence in 0..1_000u64 {
             for (rank, owner) in (0u64..).zip(&owners) {
                 let rank = rank * 1_000_000;
-                queue.push(owner, Ticket { rank, sequence, call: keys.insert(()) });
+                queue.push(owner, QueuedCall { rank, sequence, call: keys.insert(()) });
             }
         }
         let mut served = [0u64; 2];
@@ -90,7 +90,7 @@
     let mut keys: SlotMap<CallKey, ()> = SlotMap::with_key();
     let mut queue = FairQueue::new(SLACK, SLACK);
     for sequence in 0..100 {
-        queue.push(&owner(0, 0), Ticket { rank: 0, sequence, call: keys.insert(()) });
+        queue.push(&owner(0, 0), QueuedCall { rank: 0, sequence, call: keys.insert(()) });
     }
     for _ in 0..100 {
         let (owner, _) = queue.pop().expect("no other partner is waited for");
@@ -108,13 +108,13 @@
         let (mut successes, mut retries) = (0u64, 0u64);
         for success in events {
             if success {
-                budgets.succeeded(&partner);
+                budgets.record_success(&partner);
                 successes += 1;
             } else if budgets.take(&partner) {
                 retries += 1;
             }
             prop_assert!(retries * 100 <= successes * 10 + 500, "{retries} of {successes}");
-            prop_assert!(budgets.left(&partner) <= 2_000);
+            prop_assert!(budgets.remaining(&partner) <= 2_000);
         }
         Ok(())
     };
@@ -126,20 +126,20 @@
     let programs = prop::collection::vec((0..2usize, 1..400u64), 1..200);
     let test = |programs: Vec<(usize, u64)>| {
         let partners: [Arc<str>; 2] = ["first".into(), "second".into()];
-        let mut door = Door::default();
-        door.resize(1_000, 100);
-        door.weigh(&partners[0], 1);
-        door.weigh(&partners[1], 1);
+        let mut door = TokenAdmission::default();
+        door.set_capacity(1_000, 100);
+        door.set_share(&partners[0], 1);
+        door.set_share(&partners[1], 1);
         let mut inside = Vec::new();
         for (partner, tokens) in programs {
             if door.admits(&partners[partner], tokens, 100) {
-                door.book(&partners[partner], 0, tokens);
+                door.update_reservation(&partners[partner], 0, tokens);
                 inside.push((partner, tokens));
             } else if let Some((partner, tokens)) = inside.pop() {
-                door.book(&partners[partner], tokens, 0);
+                door.update_reservation(&partners[partner], tokens, 0);
             }
             let held: u64 = inside.iter().map(|(_, tokens)| tokens).sum();
-            prop_assert_eq!(door.booked(), held);
+            prop_assert_eq!(door.reserved(), held);
             let own = |wanted: usize| -> u64 {
                 inside.iter().filter(|(partner, _)| *partner == wanted).map(|(_, tokens)| tokens).sum()
             };
@@ -147,9 +147,9 @@
             prop_assert!(own(0) <= 1_000 && own(1) <= 1_000);
         }
         for (partner, tokens) in inside {
-            door.book(&partners[partner], tokens, 0);
+            door.update_reservation(&partners[partner], tokens, 0);
         }
-        prop_assert_eq!(door.booked(), 0);
+        prop_assert_eq!(door.reserved(), 0);
         Ok(())
     };
     runner().run(&programs, test).expect("holds for all cases");
--- a/agatetrestle/src/admission/door.rs
+++ b/agatetrestle/src/admission/tokens.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use crate::admission::queue::Ticket;
+use crate::admission::queue::QueuedCall;
 
 const PERCENT: u64 = 100;
 
@@ -16,28 +16,28 @@
 struct Partner {
     share: u64,
     booked: u64,
-    waiting: BTreeSet<Ticket>,
+    waiting: BTreeSet<QueuedCall>,
 }
 
 /// The door of one pool.
 #[derive(Debug, Default)]
-pub struct Door {
+pub struct TokenAdmission {
     capacity: u64,
     lent: u64,
     booked: u64,
     partners: BTreeMap<Arc<str>, Partner>,
 }
 
-impl Door {
+impl TokenAdmission {
     /// Sets how many tokens programs may hold together, and up to which percentage of that a partner
     /// may go beyond its share.
-    pub fn resize(&mut self, capacity: u64, lent: u64) {
+    pub fn set_capacity(&mut self, capacity: u64, lent: u64) {
         self.capacity = capacity;
         self.lent = lent;
     }
 
     /// Sets the share of a partner.
-    pub fn weigh(&mut self, partner: &Arc<str>, share: u32) {
+    pub fn set_share(&mut self, partner: &Arc<str>, share: u32) {
         self.partners.entry(partner.clone()).or_default().share = u64::from(share.max(1));
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Changes what a program of this partner holds.
-    pub fn book(&mut self, partner: &Arc<str>, before: u64, now: u64) {
+    pub fn update_reservation(&mut self, partner: &Arc<str>, before: u64, now: u64) {
         self.booked = (self.booked + now).saturating_sub(before);
         let partner = self.partners.entry(partner.clone()).or_default();
         partner.booked = (partner.booked + now).saturating_sub(before);
@@ -67,17 +67,17 @@
 
     /// Tokens booked for all.
     #[must_use]
-    pub fn booked(&self) -> u64 {
+    pub fn reserved(&self) -> u64 {
         self.booked
     }
 
     /// Adds a program that waits.
-    pub fn wait(&mut self, partner: &Arc<str>, ticket: Ticket) {
+    pub fn enqueue(&mut self, partner: &Arc<str>, ticket: QueuedCall) {
         self.partners.entry(partner.clone()).or_default().waiting.insert(ticket);
     }
 
     /// Takes out a program that no longer waits.
-    pub fn withdraw(&mut self, partner: &Arc<str>, ticket: Ticket) {
+    pub fn dequeue(&mut self, partner: &Arc<str>, ticket: QueuedCall) {
         if let Some(partner) = self.partners.get_mut(partner) {
             partner.waiting.remove(&ticket);
         }
@@ -85,7 +85,7 @@
 
     /// The next to start of the partner that holds least for its share.
     #[must_use]
-    pub fn next(&self) -> Option<(Arc<str>, Ticket)> {
+    pub fn next(&self) -> Option<(Arc<str>, QueuedCall)> {
         let waiting = self.partners.iter().filter(|(_, partner)| !partner.waiting.is_empty());
         let (name, partner) = waiting.min_by_key(|(_, partner)| partner.booked / partner.share.max(1))?;
         partner.waiting.first().map(|ticket| (name.clone(), *ticket))
--- a/agatetrestle/src/scheduler/core/dispatch.rs
+++ b/agatetrestle/src/scheduler/core/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::admission::queue::CallKey;
 use crate::admission::queue::FairQueue;
 use crate::admission::queue::Owner;
-use crate::admission::queue::Ticket;
+use crate::admission::queue::QueuedCall;
 use crate::clock::Timestamp;
 use crate::placing::Choice;
 use crate::placing::Fetch;
@@ -44,7 +44,7 @@
     }
 
     fn pass_lane(&mut self, now: Timestamp, pool: PoolKey, outliers: bool, decisions: &mut Decisions) {
-        let mut left: Vec<(Owner, Ticket)> = Vec::new();
+        let mut left: Vec<(Owner, QueuedCall)> = Vec::new();
         let mut held_for: Vec<BackendKey> = Vec::new();
         while left.len() <= self.cfg.pass_skips && !self.fleet.pools[pool].open.is_empty() {
             if outliers && !self.takes_outliers(pool) {
--- a/agatetrestle/src/scheduler/core/door.rs
+++ b/agatetrestle/src/scheduler/core/door.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::admission::door::Door;
 use crate::admission::queue::CallKey;
-use crate::admission::queue::Ticket;
+use crate::admission::queue::QueuedCall;
+use crate::admission::tokens::TokenAdmission;
 use crate::clock::Timestamp;
 use crate::scheduler::core::Core;
 use crate::scheduler::core::State;
@@ -41,7 +41,7 @@
             return;
         }
         let ticket = self.ticket(key);
-        self.doors[pool].wait(&partner, ticket);
+        self.doors[pool].enqueue(&partner, ticket);
         let entry = &mut self.calls[key];
         entry.state = State::AtDoor(ticket);
         let rule = self.classes.rule(&partner, &entry.call.class);
@@ -51,7 +51,7 @@
 
     /// Lets programs in for which there is room now.
     pub(super) fn open_door(&mut self, pool: PoolKey) {
-        while let Some((partner, ticket)) = self.doors.get(pool).and_then(Door::next) {
+        while let Some((partner, ticket)) = self.doors.get(pool).and_then(TokenAdmission::next) {
             let class = &self.calls[ticket.call].call.class;
             let tokens = self.classes.expected_tokens(&partner, class);
             let open = self.classes.open_percent(&partner, class);
@@ -64,13 +64,13 @@
     }
 
     /// Takes a call from the door.
-    pub(super) fn leave_door(&mut self, key: CallKey, ticket: Ticket) {
+    pub(super) fn leave_door(&mut self, key: CallKey, ticket: QueuedCall) {
         let entry = &self.calls[key];
         let rule = self.classes.rule(&entry.owner.partner, &entry.call.class);
         let patience = rule.deadline.map_or(USUAL_WAIT, |deadline| deadline / 2);
         self.impatient.remove(&(entry.submitted + patience, key));
         if let Some(door) = self.doors.get_mut(entry.pool) {
-            door.withdraw(&entry.owner.partner, ticket);
+            door.dequeue(&entry.owner.partner, ticket);
         }
     }
 
@@ -99,14 +99,14 @@
         };
         program.booked = Some((pool, own));
         let partner = program.id.partner.clone();
-        self.doors[pool].book(&partner, before, own);
+        self.doors[pool].update_reservation(&partner, before, own);
     }
 
     fn let_in(&mut self, key: CallKey, tokens: u64) {
         let entry = &self.calls[key];
         let (pool, program) = (entry.pool, entry.program);
         let partner = entry.owner.partner.clone();
-        self.doors[pool].book(&partner, 0, tokens);
+        self.doors[pool].update_reservation(&partner, 0, tokens);
         if let Some(program) = self.programs.get_mut(program) {
             program.booked = Some((pool, tokens));
         }
@@ -115,13 +115,13 @@
 
     fn measure_door(&mut self, pool: PoolKey, partner: &Arc<str>) {
         if !self.doors.contains_key(pool) {
-            self.doors.insert(pool, Door::default());
+            self.doors.insert(pool, TokenAdmission::default());
         }
         let members = &self.fleet.pools[pool].members;
         let usable = members.iter().map(|key| &self.fleet.servers[*key]).filter(|server| server.usable());
         let memory: u64 = usable.map(|server| server.cache_budget(PERCENT)).sum();
         let share = self.catalog.shares.get(partner).copied().unwrap_or(1);
-        self.doors[pool].resize(memory * self.cfg.door_fill / PERCENT, self.cfg.door_lent);
-        self.doors[pool].weigh(partner, share);
+        self.doors[pool].set_capacity(memory * self.cfg.door_fill / PERCENT, self.cfg.door_lent);
+        self.doors[pool].set_share(partner, share);
     }
 }
--- a/agatetrestle/src/scheduler/core/mod.rs
+++ b/agatetrestle/src/scheduler/core/mod.rs
@@ -16,12 +16,12 @@
 use slotmap::SecondaryMap;
 use slotmap::SlotMap;
 
-use crate::admission::door::Door;
 use crate::admission::queue::CallKey;
 use crate::admission::queue::FairQueue;
 use crate::admission::queue::Owner;
-use crate::admission::queue::Ticket;
+use crate::admission::queue::QueuedCall;
 use crate::admission::retry::RetryBudgets;
+use crate::admission::tokens::TokenAdmission;
 use crate::clock::Timestamp;
 use crate::health::risk::Risk;
 use crate::placing::Placer;
@@ -73,8 +73,8 @@
 
 #[derive(Debug)]
 enum State {
-    AtDoor(Ticket),
-    Waiting(Ticket),
+    AtDoor(QueuedCall),
+    Waiting(QueuedCall),
     Delayed(Timestamp),
     InService(InService),
 }
@@ -105,7 +105,7 @@
     ids: HashMap<CallId, CallKey>,
     queues: SecondaryMap<PoolKey, FairQueue>,
     outliers: SecondaryMap<PoolKey, FairQueue>,
-    doors: SecondaryMap<PoolKey, Door>,
+    doors: SecondaryMap<PoolKey, TokenAdmission>,
     impatient: BTreeSet<(Timestamp, CallKey)>,
     delayed: BTreeSet<(Timestamp, CallKey)>,
     resting: BTreeSet<(Timestamp, BackendKey)>,
--- a/agatetrestle/src/scheduler/core/outcome.rs
+++ b/agatetrestle/src/scheduler/core/outcome.rs
@@ -60,7 +60,7 @@
             return;
         };
         let partner = &entry.call.program.partner;
-        self.retries.succeeded(partner);
+        self.retries.record_success(partner);
         self.judge(now, &entry, service.server, false);
         if let Work::Model { prompt_tokens, .. } = &entry.call.work {
             self.classes.learn_output(partner, &entry.call.class, output_tokens);
@@ -181,7 +181,7 @@
         }
         if let Some((pool, booked)) = program.booked {
             self.classes.learn_tokens(&program.id.partner, &program.class, program.own_tokens());
-            self.doors[pool].book(&program.id.partner, booked, 0);
+            self.doors[pool].update_reservation(&program.id.partner, booked, 0);
             self.open_door(pool);
         }
     }
--- a/agatetrestle/src/scheduler/core/submit.rs
+++ b/agatetrestle/src/scheduler/core/submit.rs
@@ -5,7 +5,7 @@
 use crate::admission::queue::CallKey;
 use crate::admission::queue::FairQueue;
 use crate::admission::queue::Owner;
-use crate::admission::queue::Ticket;
+use crate::admission::queue::QueuedCall;
 use crate::clock::Timestamp;
 use crate::clock::micros;
 use crate::scheduler::core::Core;
@@ -70,7 +70,7 @@
     }
 
     /// Ranks a call.
-    pub(super) fn ticket(&mut self, key: CallKey) -> Ticket {
+    pub(super) fn ticket(&mut self, key: CallKey) -> QueuedCall {
         let entry = &self.calls[key];
         let rule = self.classes.rule(&entry.call.program.partner, &entry.call.class);
         let attained = self.programs.get(entry.root).map_or(0, |program| program.attained);
@@ -85,7 +85,7 @@
         };
         self.sequence += 1;
         let rank = self.parts.order.rank(&candidate);
-        Ticket { rank, sequence: self.sequence, call: key }
+        QueuedCall { rank, sequence: self.sequence, call: key }
     }
 
     /// Engine time of a generated token in a usual batch, in microseconds.
@@ -118,7 +118,7 @@
         let share = self.catalog.shares.get(&owner.partner).copied().unwrap_or(1);
         let team = (owner.partner.clone(), owner.team.clone());
         let weight = self.catalog.teams.get(&team).copied().unwrap_or(1);
-        queue.weigh(owner, share, weight);
+        queue.set_weights(owner, share, weight);
         queue
     }
 
--- a/agatetrestle/src/scheduler/core/tests.rs
+++ b/agatetrestle/src/scheduler/core/tests.rs
@@ -117,7 +117,7 @@
         assert_eq!((server.running, server.pinned_tokens, server.idle_tokens), (0, 0, 0));
         assert_eq!((server.pending_prefill, server.idle.len()), (0, 0));
     }
-    assert!(core.doors.values().all(|door| door.booked() == 0));
+    assert!(core.doors.values().all(|door| door.reserved() == 0));
 }
 
 #[test]
