--- a/agatetrestle/src/allowance/bucket.rs
+++ b/agatetrestle/src/allowance/bucket.rs
@@ -7,7 +7,7 @@
 
 use agatetrestle_config::deployment::AllowanceBounds;
 
-use crate::allowance::Need;
+use crate::allowance::RequestKind;
 use crate::clock::Timestamp;
 use crate::routing::Allowance;
 
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Account {
+pub(super) struct TokenBucket {
     /// Requests a second.
     rate: f64,
     /// Requests that it holds at most.
@@ -53,7 +53,7 @@
     beginnings: f64,
 }
 
-impl Account {
+impl TokenBucket {
     /// An empty account, which nothing fills before its limit is set.
     pub(super) fn new(now: Timestamp) -> Self {
         let (need, programs) = FIRST_NEED;
@@ -92,19 +92,19 @@
         &mut self,
         now: Timestamp,
         program: Option<&Arc<str>>,
-        need: Need,
+        need: RequestKind,
     ) -> Result<(), Duration> {
         self.pass(now);
         let missing = match need {
-            Need::Beginning => self.missing_to_begin(),
-            Need::Request => 1.0 - self.level,
+            RequestKind::Beginning => self.missing_to_begin(),
+            RequestKind::Request => 1.0 - self.level,
         };
         if missing > 0.0 {
             return Err(self.time_for(missing));
         }
         self.level -= 1.0;
         self.requests += 1.0;
-        self.beginnings += f64::from(u8::from(need == Need::Beginning));
+        self.beginnings += f64::from(u8::from(need == RequestKind::Beginning));
         if let Some(program) = program {
             self.note(now, program);
         }
--- a/agatetrestle/src/allowance/mod.rs
+++ b/agatetrestle/src/allowance/mod.rs
@@ -5,7 +5,7 @@
 //! leader costs, and what it was compared with: docs/design/014-teams-and-whole-programs.md. The slice is pure: time comes in
 //! as an argument.
 
-mod account;
+mod bucket;
 #[cfg(test)]
 mod tests;
 
@@ -15,13 +15,13 @@
 
 use agatetrestle_config::deployment::AllowanceBounds;
 
-use crate::allowance::account::Account;
+use crate::allowance::bucket::TokenBucket;
 use crate::clock::Timestamp;
 use crate::routing::Team;
 
 /// What is asked of an account.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Need {
+pub enum RequestKind {
     /// The first request of a program, after which more of them come.
     Beginning,
     /// Any other request.
@@ -30,49 +30,49 @@
 
 /// A request that is to be sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct OutgoingRequest<'a> {
     /// The team whose request it is.
     pub team: &'a str,
     /// The program that it is a part of, if any.
     pub program: Option<&'a Arc<str>>,
     /// What it is to its program.
-    pub need: Need,
+    pub need: RequestKind,
 }
 
 /// Why a request must not be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
     /// The team has sent as much as it may; there is room for another after this time.
-    Over(Duration),
+    OverLimit(Duration),
     /// This place has not been told of the team yet.
-    Unknown,
+    UnknownTeam,
 }
 
 /// The accounts of all teams of a group.
 #[derive(Debug)]
-pub struct Accounts {
+pub struct RateLimiter {
     bounds: AllowanceBounds,
     /// Term in which this replica leads; with another one it knows nothing of what was sent.
     term: u64,
     /// None of a team that may send without a limit.
-    teams: HashMap<Arc<str>, Option<Account>>,
+    teams: HashMap<Arc<str>, Option<TokenBucket>>,
 }
 
-impl Accounts {
-    /// Accounts that know no team yet.
+impl RateLimiter {
+    /// RateLimiter that know no team yet.
     #[must_use]
     pub fn new(bounds: AllowanceBounds) -> Self {
         Self { bounds, term: 0, teams: HashMap::new() }
     }
 
     /// Takes in the declared teams. One that stays keeps its account; what a lowered limit no longer holds is gone at once.
-    pub fn declare(&mut self, now: Timestamp, teams: &[Arc<Team>]) {
+    pub fn set_teams(&mut self, now: Timestamp, teams: &[Arc<Team>]) {
         let bounds = self.bounds;
         let mut before = std::mem::take(&mut self.teams);
         let declared = teams.iter().map(|team| {
             let account = team.allowance.map(|allowance| {
                 let known = before.remove(&team.name).flatten();
-                let mut account = known.unwrap_or_else(|| Account::new(now));
+                let mut account = known.unwrap_or_else(|| TokenBucket::new(now));
                 account.limit(now, allowance, bounds);
                 account
             });
@@ -86,13 +86,13 @@
     /// # Errors
     ///
     /// Says why the request must not be sent.
-    pub fn take(&mut self, now: Timestamp, term: u64, asked: Asked<'_>) -> Result<(), Denial> {
+    pub fn take(&mut self, now: Timestamp, term: u64, asked: OutgoingRequest<'_>) -> Result<(), Denial> {
         self.lead(now, term);
-        let Asked { team, program, need } = asked;
+        let OutgoingRequest { team, program, need } = asked;
         match self.teams.get_mut(team) {
-            None => Err(Denial::Unknown),
+            None => Err(Denial::UnknownTeam),
             Some(None) => Ok(()),
-            Some(Some(account)) => account.take(now, program, need).map_err(Denial::Over),
+            Some(Some(account)) => account.take(now, program, need).map_err(Denial::OverLimit),
         }
     }
 
--- a/agatetrestle/src/allowance/tests.rs
+++ b/agatetrestle/src/allowance/tests.rs
@@ -16,9 +16,9 @@
     Arc::new(Team { name: name.into(), keys: Vec::new(), priority: 1, allowance })
 }
 
-fn accounts(per_second: f64) -> Accounts {
-    let mut accounts = Accounts::new(BOUNDS);
-    accounts.declare(Timestamp(0), &[team(RED, per_second)]);
+fn accounts(per_second: f64) -> RateLimiter {
+    let mut accounts = RateLimiter::new(BOUNDS);
+    accounts.set_teams(Timestamp(0), &[team(RED, per_second)]);
     accounts
 }
 
@@ -26,8 +26,8 @@
     Timestamp(millis * 1_000)
 }
 
-fn asked(team: &str, need: Need) -> Asked<'_> {
-    Asked { team, program: None, need }
+fn asked(team: &str, need: RequestKind) -> OutgoingRequest<'_> {
+    OutgoingRequest { team, program: None, need }
 }
 
 fn number(count: usize) -> f64 {
@@ -81,7 +81,7 @@
             Step::Ask(count) => {
                 let told = if emptied { term } else { 1 };
                 let asked = (0..count).filter(|number| {
-                    let need = if number % 7 == 0 { Need::Beginning } else { Need::Request };
+                    let need = if number % 7 == 0 { RequestKind::Beginning } else { RequestKind::Request };
                     replicas[leader].take(at(now), told, asked(RED, need)).is_ok()
                 });
                 taken.extend(std::iter::repeat_n(now, asked.count()));
@@ -98,7 +98,7 @@
             Step::Declare(halved) => {
                 let rate = if halved { rate / 2.0 } else { rate };
                 for replica in &mut replicas {
-                    replica.declare(at(now), &[team(RED, rate)]);
+                    replica.set_teams(at(now), &[team(RED, rate)]);
                 }
             }
         }
@@ -133,9 +133,9 @@
     let mut taken = Vec::new();
     for now in 0..20_000 {
         if now == 10_000 {
-            accounts.declare(at(now), &[team(RED, 10.0)]);
+            accounts.set_teams(at(now), &[team(RED, 10.0)]);
         }
-        if accounts.take(at(now), 1, asked(RED, Need::Request)).is_ok() {
+        if accounts.take(at(now), 1, asked(RED, RequestKind::Request)).is_ok() {
             taken.push(now);
         }
     }
@@ -147,11 +147,11 @@
 #[test]
 fn a_team_without_a_limit_is_never_held_and_an_unknown_one_waits_to_be_told() {
     let mut accounts = accounts(1.0);
-    assert_eq!(accounts.take(at(1), 1, asked("blue", Need::Request)), Err(Denial::Unknown));
-    accounts.declare(at(2), &[team(RED, 1.0), team("blue", 0.0)]);
-    assert!((0..1_000).all(|_| accounts.take(at(3), 1, asked("blue", Need::Request)).is_ok()));
-    let told = accounts.take(at(3), 1, asked(RED, Need::Request)).unwrap_err();
-    assert!(matches!(told, Denial::Over(after) if after > Duration::from_millis(500)), "{told:?}");
+    assert_eq!(accounts.take(at(1), 1, asked("blue", RequestKind::Request)), Err(Denial::UnknownTeam));
+    accounts.set_teams(at(2), &[team(RED, 1.0), team("blue", 0.0)]);
+    assert!((0..1_000).all(|_| accounts.take(at(3), 1, asked("blue", RequestKind::Request)).is_ok()));
+    let told = accounts.take(at(3), 1, asked(RED, RequestKind::Request)).unwrap_err();
+    assert!(matches!(told, Denial::OverLimit(after) if after > Duration::from_millis(500)), "{told:?}");
 }
 
 /// How often a program that may not begin comes, each time after it was told.
@@ -168,7 +168,7 @@
 /// whenever they came to begin, those that were denied later, and those that ended.
 fn work(rate: f64, begin_per_second: f64, seed: u64) -> (usize, usize, usize) {
     let mut accounts = accounts(rate);
-    accounts.take(at(0), 1, asked(RED, Need::Request)).expect_err("a term begins with empty accounts");
+    accounts.take(at(0), 1, asked(RED, RequestKind::Request)).expect_err("a term begins with empty accounts");
     let mut programs = Programs { rng: Random::new(seed), due: VecDeque::new(), left: Vec::new() };
     let (mut denied, mut broken, mut ended, mut begun) = (0, 0, 0, 0.0);
     let mut coming = Vec::new();
@@ -183,14 +183,14 @@
         coming = later;
         for (_, times) in come {
             let name = programs.left.len().to_string().into();
-            let beginning = Asked { program: Some(&name), ..asked(RED, Need::Beginning) };
+            let beginning = OutgoingRequest { program: Some(&name), ..asked(RED, RequestKind::Beginning) };
             match accounts.take(at(now), 1, beginning) {
                 Ok(()) => {
                     programs.left.push(programs.rng.below(27));
                     let next = now + 100 + programs.rng.below(200);
                     programs.due.push_back((next, programs.left.len() as u64 - 1));
                 }
-                Err(Denial::Over(after)) if times < TIMES => {
+                Err(Denial::OverLimit(after)) if times < TIMES => {
                     coming.push((now + u64::try_from(after.as_millis()).unwrap(), times + 1));
                 }
                 Err(_) => denied += 1,
@@ -206,7 +206,7 @@
             }
             *left -= 1;
             let name = program.to_string().into();
-            let request = Asked { program: Some(&name), ..asked(RED, Need::Request) };
+            let request = OutgoingRequest { program: Some(&name), ..asked(RED, RequestKind::Request) };
             if accounts.take(at(now), 1, request).is_err() {
                 broken += 1;
                 continue;
--- a/agatetrestle/src/cluster/service.rs
+++ b/agatetrestle/src/cluster/service.rs
@@ -24,12 +24,12 @@
 use crate::node::service::commit;
 use crate::node::service::outcome;
 use crate::node::service::read;
+use crate::turns::admission::TurnAdmission;
+use crate::turns::clock::LeaderClock;
 use crate::turns::command::Take;
-use crate::turns::command::Timed;
+use crate::turns::command::TimedCommand;
 use crate::turns::command::TurnCommand;
-use crate::turns::opening::Openings;
 use crate::turns::state::TurnState;
-use crate::turns::time::LeaderTime;
 
 /// A control replica.
 pub struct ControlService {
@@ -82,20 +82,20 @@
 pub struct TurnService {
     group: Rc<Group<TurnState>>,
     clock: Clock,
-    time: Cell<LeaderTime>,
-    openings: Rc<RefCell<Openings>>,
+    time: Cell<LeaderClock>,
+    openings: Rc<RefCell<TurnAdmission>>,
 }
 
 impl TurnService {
     /// A desk for a replica.
     #[must_use]
-    pub fn new(group: Rc<Group<TurnState>>, clock: Clock, openings: Rc<RefCell<Openings>>) -> Self {
+    pub fn new(group: Rc<Group<TurnState>>, clock: Clock, openings: Rc<RefCell<TurnAdmission>>) -> Self {
         Self { group, clock, time: Cell::default(), openings }
     }
 
     fn elapsed(&self) -> Duration {
         let mut time = self.time.get();
-        let elapsed = time.pass(self.group.term(), self.clock.now());
+        let elapsed = time.advance(self.group.term(), self.clock.now());
         self.time.set(time);
         elapsed
     }
@@ -104,9 +104,9 @@
         if !self.group.leads() {
             return commit(&self.group, request).await;
         }
-        Timed::stamp(&mut request, self.elapsed());
+        TimedCommand::set_elapsed(&mut request, self.elapsed());
         let payload: Arc<[u8]> = request.into();
-        let Some(Timed { command, .. }) = Timed::read(&payload) else {
+        let Some(TimedCommand { command, .. }) = TimedCommand::decode(&payload) else {
             return commit(&self.group, payload).await;
         };
         let now = self.clock.now();
@@ -115,13 +115,14 @@
         }
         let weighed = self
             .group
-            .machine(|state| self.openings.borrow_mut().weigh(now, self.group.term(), &command, state));
+            .machine(|state| self.openings.borrow_mut().check(now, self.group.term(), &command, state));
         match weighed {
             Ok(()) => {
                 let submission = commit(&self.group, payload).await;
                 if matches!(submission, Submission::Applied(_)) {
                     let now = self.clock.now();
-                    self.group.machine(|state| self.openings.borrow_mut().note(now, &command, state));
+                    self.group
+                        .machine(|state| self.openings.borrow_mut().record_applied(now, &command, state));
                 }
                 submission
             }
--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -49,7 +49,7 @@
 use crate::node::replicas::Opener;
 use crate::node::service::GroupService;
 use crate::node::service::Submission;
-use crate::turns::opening::Openings;
+use crate::turns::admission::TurnAdmission;
 use crate::turns::state::TurnState;
 
 /// Tenths of the memory that kept turns may take. While a snapshot is made or read the turns are there twice, and at a
@@ -87,7 +87,7 @@
     spare: Cell<bool>,
     replica: RefCell<Option<Rc<Group<TurnState>>>>,
     /// What the replica weighs while it leads.
-    openings: Rc<RefCell<Openings>>,
+    openings: Rc<RefCell<TurnAdmission>>,
 }
 
 impl Held {
@@ -96,7 +96,7 @@
             group: Cell::default(),
             spare: Cell::default(),
             replica: RefCell::default(),
-            openings: Rc::new(RefCell::new(Openings::new(bounds))),
+            openings: Rc::new(RefCell::new(TurnAdmission::new(bounds))),
         }
     }
 
@@ -228,7 +228,7 @@
     stores: Sender<BTreeMap<NodeId, SocketAddrV4>>,
     wire: Rc<dyn Wire>,
     clock: Clock,
-    openings: Rc<RefCell<Openings>>,
+    openings: Rc<RefCell<TurnAdmission>>,
 }
 
 impl Watcher for StoreWatcher {
@@ -236,7 +236,7 @@
         match self.wire.read_table(document.text.as_bytes()) {
             Ok(table) => {
                 info!("{} teams of version {} have accounts here.", table.teams().len(), table.version);
-                self.openings.borrow_mut().declare(self.clock.now(), table.teams());
+                self.openings.borrow_mut().set_teams(self.clock.now(), table.teams());
             }
             // Control accepted it, so this node is of another build; it goes on with the teams that it knows.
             Err(failure) => warn!("Teams of version {} can't be used here: {failure}.", document.version),
@@ -287,7 +287,7 @@
     let missing = if founders.is_some() { Missing::Bootstrap } else { Missing::Join };
     let founders: Vec<NodeId> = founders.into_iter().flatten().collect();
     info!("State group {} is opened by {missing:?}; its founders are {founders:?}.", id.0);
-    let replica = opener.open_found(found, TurnState::with_room(room), &founders, missing).await?;
+    let replica = opener.open_found(found, TurnState::with_max_bytes(room), &founders, missing).await?;
     replica.driver.detach();
     Ok((id, replica.group))
 }
--- a/agatetrestle/src/deployment/turns.rs
+++ b/agatetrestle/src/deployment/turns.rs
@@ -25,10 +25,10 @@
 use crate::node::router::Router;
 use crate::ports::GroupError;
 use crate::turns::command::Begin;
-use crate::turns::command::Carried;
 use crate::turns::command::Take;
+use crate::turns::command::TransferredTurn;
 use crate::turns::command::TurnCommand;
-use crate::turns::command::TurnName;
+use crate::turns::command::TurnId;
 use crate::turns::command::TurnReply;
 
 /// Pause before it is looked again whether the state groups are known; an entry is told a moment after it starts.
@@ -156,7 +156,7 @@
 
 /// Hands a command over. Who begins something new is refused at once where too much waits; what has run must be settled.
 async fn ask(router: &Router, command: TurnCommand) -> Result<TurnReply, GroupError> {
-    let coded = command.code(Duration::ZERO);
+    let coded = command.encode(Duration::ZERO);
     let reply = match command {
         TurnCommand::Begin(_) | TurnCommand::Chain(_) | TurnCommand::Take(_) => router.offer(coded).await?,
         TurnCommand::Finish(_) => router.submit(coded).await?,
@@ -167,8 +167,8 @@
 /// The chain of a turn from whichever group keeps it; empty if all say that they don't.
 async fn fetch<'a>(
     routers: impl Iterator<Item = &'a Rc<Router>>,
-    last: &TurnName,
-) -> Result<Vec<Carried>, GroupError> {
+    last: &TurnId,
+) -> Result<Vec<TransferredTurn>, GroupError> {
     let replies = join_all(routers.map(|router| ask(router, TurnCommand::Chain(last.clone())))).await;
     let mut missing = None;
     for reply in replies {
--- a/agatetrestle/src/gateway/reserve.rs
+++ b/agatetrestle/src/gateway/reserve.rs
@@ -13,8 +13,8 @@
 use crate::gateway::turn::OpenTurn;
 use crate::node::peer_link::within;
 use crate::ports::GroupError;
+use crate::turns::command::AdmissionParams;
 use crate::turns::command::Begin;
-use crate::turns::command::Opening;
 use crate::turns::command::Take;
 use crate::turns::command::TurnCommand;
 use crate::turns::command::TurnReply;
@@ -48,7 +48,7 @@
 
 /// Reserves the turn and puts what it goes on from before what the caller sent.
 pub(super) async fn begin(gateway: &Rc<Gateway>, job: &mut Job) -> Result<OpenTurn, Problem> {
-    let opening = Opening {
+    let opening = AdmissionParams {
         service: job.service.clone(),
         route: job.route.name.clone(),
         places: gateway.dispatch.borrow().places(&job.service),
--- a/agatetrestle/src/gateway/turn.rs
+++ b/agatetrestle/src/gateway/turn.rs
@@ -12,9 +12,9 @@
 use crate::ports::GroupError;
 use crate::turns::command::Begin;
 use crate::turns::command::Finish;
-use crate::turns::command::Kept;
+use crate::turns::command::RetainedTurn;
 use crate::turns::command::TurnCommand;
-use crate::turns::command::TurnName;
+use crate::turns::command::TurnId;
 use crate::turns::command::TurnReply;
 
 /// The state group as a gateway sees it.
@@ -28,7 +28,7 @@
     gateway: Rc<Gateway>,
     program: Arc<str>,
     team: Arc<str>,
-    name: TurnName,
+    name: TurnId,
     spent: u64,
     ran: Option<u64>,
     settled: bool,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Keeping {
     /// The turn that it went on from.
-    pub previous: Option<TurnName>,
+    pub previous: Option<TurnId>,
     /// For how many milliseconds it is kept.
     pub retention: u64,
     /// What the caller sent, and what was generated so far.
@@ -79,7 +79,7 @@
     /// Fails if the state group did not say that it is settled.
     pub async fn keep(mut self, keeping: Keeping) -> Result<(), GroupError> {
         let Keeping { previous, retention, text } = keeping;
-        let kept = Kept { previous, text: Blob::from(&text[..]), retention };
+        let kept = RetainedTurn { previous, text: Blob::from(&text[..]), retention };
         let finish = self.finish(Some(kept));
         let reply = self.gateway.turns.commit(finish).await?;
         self.settled = reply == TurnReply::Settled;
@@ -94,7 +94,7 @@
         self.settled = true;
     }
 
-    fn finish(&self, kept: Option<Kept>) -> TurnCommand {
+    fn finish(&self, kept: Option<RetainedTurn>) -> TurnCommand {
         let (program, team, turn) = (self.program.clone(), self.team.clone(), self.name.clone());
         TurnCommand::Finish(Finish { program, team, turn, spent: self.spent, ran: self.ran, kept })
     }
--- a/agatetrestle/src/turns/admission.rs
+++ b/agatetrestle/src/turns/admission.rs
@@ -1,6 +1,6 @@
 //! What the leader of a state group weighs before a turn begins: its team's account and how many programs are under way.
 //!
-//! Nothing of this is in the log. A new leader begins with empty accounts ([`crate::allowance`]) and an open [`Door`].
+//! Nothing of this is in the log. A new leader begins with empty accounts ([`crate::allowance`]) and an open [`ProgramLimiter`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,38 +8,38 @@
 use agatetrestle_config::deployment::AllowanceBounds;
 use log::info;
 
-use crate::allowance::Accounts;
-use crate::allowance::Asked;
 use crate::allowance::Denial;
-use crate::allowance::Need;
+use crate::allowance::OutgoingRequest;
+use crate::allowance::RateLimiter;
+use crate::allowance::RequestKind;
 use crate::clock::Timestamp;
 use crate::routing::Team;
 use crate::turns::command::Begin;
 use crate::turns::command::Take;
 use crate::turns::command::TurnCommand;
 use crate::turns::command::TurnReply;
-use crate::turns::door::Beginning;
-use crate::turns::door::Coming;
-use crate::turns::door::Door;
+use crate::turns::limiter::ProgramLimiter;
+use crate::turns::limiter::ProgramStart;
+use crate::turns::limiter::TurnStart;
 use crate::turns::state::TurnState;
 
 /// The accounts and the door of one group.
 #[derive(Debug)]
-pub struct Openings {
-    accounts: Accounts,
-    door: Door,
+pub struct TurnAdmission {
+    accounts: RateLimiter,
+    door: ProgramLimiter,
 }
 
-impl Openings {
+impl TurnAdmission {
     /// Before anything is known.
     #[must_use]
     pub fn new(bounds: AllowanceBounds) -> Self {
-        Self { accounts: Accounts::new(bounds), door: Door::default() }
+        Self { accounts: RateLimiter::new(bounds), door: ProgramLimiter::default() }
     }
 
     /// Takes in the declared teams.
-    pub fn declare(&mut self, now: Timestamp, teams: &[Arc<Team>]) {
-        self.accounts.declare(now, teams);
+    pub fn set_teams(&mut self, now: Timestamp, teams: &[Arc<Team>]) {
+        self.accounts.set_teams(now, teams);
     }
 
     /// Weighs a command before it enters the log of the leader of a term.
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// The reply where it must not enter the log.
-    pub fn weigh(
+    pub fn check(
         &mut self,
         now: Timestamp,
         term: u64,
@@ -62,7 +62,7 @@
             return Ok(());
         };
         let begins = !state.has_begun(&begin.team, &begin.program) && begin.previous.is_none();
-        let coming = Coming {
+        let coming = ProgramStart {
             service: &opening.service,
             kind: &opening.route,
             places: opening.places,
@@ -79,18 +79,22 @@
             return Err(TurnReply::Crowded(millis));
         }
         if opening.charge {
-            let need = if begins { Need::Beginning } else { Need::Request };
-            self.charge(now, term, Asked { team: &begin.team, program: Some(&begin.program), need })?;
+            let need = if begins { RequestKind::Beginning } else { RequestKind::Request };
+            self.charge(
+                now,
+                term,
+                OutgoingRequest { team: &begin.team, program: Some(&begin.program), need },
+            )?;
         }
         Ok(())
     }
 
     /// Takes in a command that was applied.
-    pub fn note(&mut self, now: Timestamp, command: &TurnCommand, state: &TurnState) {
+    pub fn record_applied(&mut self, now: Timestamp, command: &TurnCommand, state: &TurnState) {
         match command {
             TurnCommand::Begin(begin) if is_open(state, begin) => {
                 if let Some(opening) = &begin.opening {
-                    let beginning = Beginning {
+                    let beginning = TurnStart {
                         service: &opening.service,
                         kind: &opening.route,
                         program: &begin.program,
@@ -109,19 +113,19 @@
 
     /// Takes one request from a team's account, for the leader of a term.
     pub fn take(&mut self, now: Timestamp, term: u64, take: &Take) -> TurnReply {
-        let need = if take.begins { Need::Beginning } else { Need::Request };
-        let asked = Asked { team: &take.team, program: take.program.as_ref(), need };
+        let need = if take.begins { RequestKind::Beginning } else { RequestKind::Request };
+        let asked = OutgoingRequest { team: &take.team, program: take.program.as_ref(), need };
         self.charge(now, term, asked).err().unwrap_or(TurnReply::Taken)
     }
 
-    fn charge(&mut self, now: Timestamp, term: u64, asked: Asked<'_>) -> Result<(), TurnReply> {
+    fn charge(&mut self, now: Timestamp, term: u64, asked: OutgoingRequest<'_>) -> Result<(), TurnReply> {
         self.accounts.take(now, term, asked).map_err(|denial| match denial {
-            Denial::Over(after) => {
-                let Asked { team, need, .. } = asked;
+            Denial::OverLimit(after) => {
+                let OutgoingRequest { team, need, .. } = asked;
                 info!("team={team} need={need:?} is over its allowance: retry_ms={}", after.as_millis());
                 TurnReply::Over(millis(after))
             }
-            Denial::Unknown => TurnReply::UnknownTeam,
+            Denial::UnknownTeam => TurnReply::UnknownTeam,
         })
     }
 }
--- a/agatetrestle/src/turns/clock.rs
+++ b/agatetrestle/src/turns/clock.rs
@@ -6,15 +6,15 @@
 
 /// How far the present leader has told its time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LeaderTime {
+pub struct LeaderClock {
     term: u64,
     told: Timestamp,
 }
 
-impl LeaderTime {
+impl LeaderClock {
     /// Whole milliseconds since the last command of this term; the rest counts with the next one. The first command
     /// of a term tells none, so that time without a leader never makes a turn old.
-    pub fn pass(&mut self, term: u64, now: Timestamp) -> Duration {
+    pub fn advance(&mut self, term: u64, now: Timestamp) -> Duration {
         if term != self.term {
             *self = Self { term, told: now };
             return Duration::ZERO;
--- a/agatetrestle/src/turns/command.rs
+++ b/agatetrestle/src/turns/command.rs
@@ -11,7 +11,7 @@
 use crate::codec::encode;
 
 /// Name of a turn: the attempt of a caller that it was the answer to.
-pub type TurnName = Arc<str>;
+pub type TurnId = Arc<str>;
 
 /// A change to the turns of one program.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -22,7 +22,7 @@
     Finish(Finish),
     /// Tell a turn and everything that it goes on from, for a program of another group. It changes nothing; as a command it
     /// is answered only by a group that knows all that was acknowledged.
-    Chain(TurnName),
+    Chain(TurnId),
     /// Take one request from the account of a team. The leader answers it alone; it never enters the log.
     Take(Take),
 }
@@ -41,7 +41,7 @@
 
 /// What the leader weighs before a turn begins, beside the state.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Opening {
+pub struct AdmissionParams {
     /// The service that the turn goes to.
     pub service: Arc<str>,
     /// The route that it comes on.
@@ -64,7 +64,7 @@
 
 /// A command with the time that it brings.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Timed {
+pub struct TimedCommand {
     /// Time that passed on the leader since its command before.
     pub elapsed: Duration,
     /// The command.
@@ -75,7 +75,7 @@
     /// Codes a command. The text stands at the very end, so that the state can go on using the bytes that the log
     /// holds anyway instead of a copy; see docs/incidents/003-stores-over-their-memory.md.
     #[must_use]
-    pub fn code(&self, elapsed: Duration) -> Vec<u8> {
+    pub fn encode(&self, elapsed: Duration) -> Vec<u8> {
         let coded = encode(self);
         let text = self.text();
         let mut buf = Vec::with_capacity(HEAD_BYTES + coded.len() + text.len());
@@ -104,17 +104,17 @@
     }
 }
 
-impl Timed {
+impl TimedCommand {
     /// Writes the time into a coded command; bytes that are no command stay as they are.
-    pub fn stamp(coded: &mut [u8], elapsed: Duration) {
+    pub fn set_elapsed(coded: &mut [u8], elapsed: Duration) {
         if let Some(head) = coded.first_chunk_mut() {
             *head = millis(elapsed).to_le_bytes();
         }
     }
 
-    /// Reads what [`TurnCommand::code`] wrote; none where it is something else.
+    /// Reads what [`TurnCommand::encode`] wrote; none where it is something else.
     #[must_use]
-    pub fn read(payload: &Arc<[u8]>) -> Option<Self> {
+    pub fn decode(payload: &Arc<[u8]>) -> Option<Self> {
         let (elapsed, rest) = payload.split_first_chunk()?;
         let (length, rest) = rest.split_first_chunk()?;
         let length = usize::try_from(u32::from_le_bytes(*length)).ok()?;
@@ -141,27 +141,27 @@
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub team: Arc<str>,
     /// The turn that begins.
-    pub turn: TurnName,
+    pub turn: TurnId,
     /// Tokens that all turns of the program may generate; none where the program has no budget.
     pub budget: Option<u64>,
     /// Most tokens that this turn generates.
     pub most: u64,
     /// The turn that it goes on from.
-    pub previous: Option<TurnName>,
+    pub previous: Option<TurnId>,
     /// That turn and all before it, oldest first, where another group keeps them: programs may go on from turns of programs
     /// that are kept elsewhere, and from then on this group keeps them too.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub carried: Vec<Carried>,
+    pub carried: Vec<TransferredTurn>,
     /// What the leader weighs; none from entries that know of no such thing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub opening: Option<Opening>,
+    pub opening: Option<AdmissionParams>,
 }
 
 /// A turn on its way from the group that keeps it to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Carried {
+pub struct TransferredTurn {
     /// The turn.
-    pub name: TurnName,
+    pub name: TurnId,
     /// What the caller sent, and what was generated.
     pub text: Blob,
     /// For how many more milliseconds it is kept.
@@ -171,7 +171,7 @@
     pub team: Arc<str>,
 }
 
-impl Carried {
+impl TransferredTurn {
     /// Whether a team may go on from it; a turn of no team was sent when nobody needed a key.
     #[must_use]
     pub fn is_open_to(&self, team: &str) -> bool {
@@ -188,22 +188,22 @@
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub team: Arc<str>,
     /// The turn that ended.
-    pub turn: TurnName,
+    pub turn: TurnId,
     /// Tokens that were handed to the caller.
     pub spent: u64,
     /// Milliseconds that it took at a server; none where no server ran it whole.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ran: Option<u64>,
     /// What is kept, for a turn that ended whole on a route that keeps turns.
-    pub kept: Option<Kept>,
+    pub kept: Option<RetainedTurn>,
 }
 
 /// A turn that others may go on from.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Kept {
+pub struct RetainedTurn {
     /// The turn that it went on from.
-    pub previous: Option<TurnName>,
-    /// What the caller sent, and what was generated. It stands behind the command, see [`TurnCommand::code`].
+    pub previous: Option<TurnId>,
+    /// What the caller sent, and what was generated. It stands behind the command, see [`TurnCommand::encode`].
     #[serde(skip)]
     pub text: Blob,
     /// For how many milliseconds it is kept.
@@ -223,7 +223,7 @@
     /// There is no such previous turn.
     NoSuchTurn,
     /// A turn and all before it, oldest first; empty if there is no such turn here.
-    Chain(Vec<Carried>),
+    Chain(Vec<TransferredTurn>),
     /// The turn is settled.
     Settled,
     /// The state has no room for more turns; nothing was changed.
--- a/agatetrestle/src/turns/limiter.rs
+++ b/agatetrestle/src/turns/limiter.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::Timestamp;
-use crate::turns::command::TurnName;
+use crate::turns::command::TurnId;
 
 /// The programs under way may together need this much of a service's places. A little more than all: a full pool with a short
 /// queue loses no time of its servers, and programs have a third of theirs to spare.
@@ -86,7 +86,7 @@
 
 /// A program that wants to begin.
 #[derive(Clone, Copy, Debug)]
-pub struct Coming<'a> {
+pub struct ProgramStart<'a> {
     /// The service that its first turn goes to.
     pub service: &'a Arc<str>,
     /// The route that it begins on, which tells its kind.
@@ -96,14 +96,14 @@
     /// The program.
     pub program: &'a Arc<str>,
     /// The turn that it begins with.
-    pub turn: &'a TurnName,
+    pub turn: &'a TurnId,
     /// Time left until it should be finished; none where it does not say.
     pub finish_in: Option<Duration>,
 }
 
 /// A turn that begins.
 #[derive(Clone, Copy, Debug)]
-pub struct Beginning<'a> {
+pub struct TurnStart<'a> {
     /// The service that it goes to.
     pub service: &'a Arc<str>,
     /// The route that it comes on.
@@ -111,12 +111,12 @@
     /// Its program.
     pub program: &'a Arc<str>,
     /// Its name.
-    pub turn: &'a TurnName,
+    pub turn: &'a TurnId,
     /// How long its caller waits for it.
     pub patience: Duration,
 }
 
-impl Coming<'_> {
+impl ProgramStart<'_> {
     /// Whether a program that first came so long ago has waited too long to be likely to end in time.
     fn is_late(&self, waited: Duration) -> bool {
         self.finish_in.is_some_and(|left| waited > (left + waited).mul_f64(SPARE))
@@ -125,25 +125,25 @@
 
 /// The door of a state group.
 #[derive(Debug, Default)]
-pub struct Door {
+pub struct ProgramLimiter {
     crowds: HashMap<Arc<str>, Crowd>,
-    open: HashMap<TurnName, Open>,
+    open: HashMap<TurnId, Open>,
     /// Programs that were turned away, by when they first came.
     waiting: HashMap<Arc<str>, Timestamp>,
     by_coming: BTreeSet<(Timestamp, Arc<str>)>,
     /// Open turns by when their callers give up.
-    by_end: BTreeSet<(Timestamp, TurnName)>,
+    by_end: BTreeSet<(Timestamp, TurnId)>,
 }
 
-impl Door {
+impl ProgramLimiter {
     /// Whether another program may begin on a service with so many places.
     ///
     /// # Errors
     ///
     /// Tells in how many milliseconds it is worth coming back.
-    pub fn admit(&mut self, now: Timestamp, coming: Coming<'_>) -> Result<(), u64> {
+    pub fn admit(&mut self, now: Timestamp, coming: ProgramStart<'_>) -> Result<(), u64> {
         self.expire(now);
-        let Coming { service, kind, places, program, turn, .. } = coming;
+        let ProgramStart { service, kind, places, program, turn, .. } = coming;
         let crowd = self.crowds.entry(service.clone()).or_default();
         crowd.pass(now);
         crowd.kinds.entry(kind.clone()).or_default();
@@ -168,8 +168,8 @@
     }
 
     /// Takes in that a turn begins.
-    pub fn begin(&mut self, now: Timestamp, turn: Beginning<'_>) {
-        let Beginning { service, kind, program, turn, patience } = turn;
+    pub fn begin(&mut self, now: Timestamp, turn: TurnStart<'_>) {
+        let TurnStart { service, kind, program, turn, patience } = turn;
         self.expire(now);
         if self.open.contains_key(turn) {
             return;
@@ -184,7 +184,7 @@
     }
 
     /// Takes in that a turn ended, after so much time at a server; none where no server ran it whole.
-    pub fn finish(&mut self, now: Timestamp, turn: &TurnName, ran: Option<Duration>) {
+    pub fn finish(&mut self, now: Timestamp, turn: &TurnId, ran: Option<Duration>) {
         if let Some(open) = self.open.remove(turn)
             && let Some(crowd) = self.crowds.get_mut(&open.service)
         {
--- a/agatetrestle/src/turns/mod.rs
+++ b/agatetrestle/src/turns/mod.rs
@@ -3,10 +3,10 @@
 //! A turn reserves its most tokens before anything is sent and settles at its end, and a turn that ended whole
 //! is kept with everything it goes on from; see docs/design/012-a-deployment-of-three-roles.md.
 
+pub mod admission;
+pub mod clock;
 pub mod command;
-pub mod door;
-pub mod opening;
+pub mod limiter;
 pub mod state;
 #[cfg(test)]
 mod tests;
-pub mod time;
--- a/agatetrestle/src/turns/state.rs
+++ b/agatetrestle/src/turns/state.rs
@@ -21,12 +21,12 @@
 use crate::codec::encode;
 use crate::codec::encode_large;
 use crate::turns::command::Begin;
-use crate::turns::command::Carried;
 use crate::turns::command::Finish;
-use crate::turns::command::Kept;
-use crate::turns::command::Timed;
+use crate::turns::command::RetainedTurn;
+use crate::turns::command::TimedCommand;
+use crate::turns::command::TransferredTurn;
 use crate::turns::command::TurnCommand;
-use crate::turns::command::TurnName;
+use crate::turns::command::TurnId;
 use crate::turns::command::TurnReply;
 
 /// Milliseconds beyond its retention for which a turn stays: the caller counts from when the end of the answer
@@ -44,13 +44,13 @@
 struct Account {
     spent: u64,
     /// Turns that have not ended, with their most tokens.
-    open: BTreeMap<TurnName, u64>,
+    open: BTreeMap<TurnId, u64>,
     last_used: u64,
 }
 
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Turn {
-    previous: Option<TurnName>,
+    previous: Option<TurnId>,
     text: Blob,
     until: u64,
     /// The team whose turn it is; see [`Turn::is_open_to`].
@@ -73,8 +73,8 @@
     /// wrong or set makes a turn forgotten too soon, and while no leader is there no time passes.
     now: u64,
     accounts: HashMap<Arc<str>, Account>,
-    turns: HashMap<TurnName, Turn>,
-    turns_by_end: BTreeSet<(u64, TurnName)>,
+    turns: HashMap<TurnId, Turn>,
+    turns_by_end: BTreeSet<(u64, TurnId)>,
     accounts_by_use: BTreeSet<(u64, Arc<str>)>,
     kept_bytes: usize,
     /// Bytes of turns beyond which no turn begins that would have to be kept; 0 for no bound.
@@ -85,12 +85,12 @@
     /// A state that holds at most this many bytes of turns. Every replica must be given the same bound, which is
     /// why it is coded with the state.
     #[must_use]
-    pub fn with_room(room: usize) -> Self {
+    pub fn with_max_bytes(room: usize) -> Self {
         Self { room, ..Self::default() }
     }
 
     /// Applies a command; the reply is the same on every replica.
-    pub fn execute(&mut self, timed: Timed) -> TurnReply {
+    pub fn execute(&mut self, timed: TimedCommand) -> TurnReply {
         self.pass(timed.elapsed);
         match timed.command {
             TurnCommand::Begin(begin) => self.begin(begin),
@@ -102,7 +102,7 @@
 
     /// Whether a turn of a team's program has begun and not ended.
     #[must_use]
-    pub fn is_open(&self, team: &str, program: &Arc<str>, turn: &TurnName) -> bool {
+    pub fn is_open(&self, team: &str, program: &Arc<str>, turn: &TurnId) -> bool {
         let account = self.accounts.get(&account_name(team, program));
         account.is_some_and(|account| account.open.contains_key(turn))
     }
@@ -162,7 +162,7 @@
     }
 
     /// Keeps a turn, and everything that it goes on from for as long.
-    fn keep(&mut self, team: &Arc<str>, name: TurnName, kept: Kept) {
+    fn keep(&mut self, team: &Arc<str>, name: TurnId, kept: RetainedTurn) {
         let until = self.now.saturating_add(kept.retention).saturating_add(MARGIN);
         if let std::collections::hash_map::Entry::Vacant(vacant) = self.turns.entry(name.clone()) {
             self.kept_bytes += kept.text.len() + TURN_OVERHEAD;
@@ -185,7 +185,7 @@
     }
 
     /// The texts of a team's turn and of all before it, oldest first; none if the team has no such turn.
-    fn chain(&self, team: &str, last: Option<&TurnName>) -> Option<Vec<Blob>> {
+    fn chain(&self, team: &str, last: Option<&TurnId>) -> Option<Vec<Blob>> {
         let mut texts = Vec::new();
         let mut next = last;
         while let Some(name) = next {
@@ -198,7 +198,7 @@
     }
 
     /// A turn and all before it for another group, oldest first.
-    fn carry(&self, last: &TurnName) -> Vec<Carried> {
+    fn carry(&self, last: &TurnId) -> Vec<TransferredTurn> {
         let mut carried = Vec::new();
         let mut next = Some(last);
         while let Some(name) = next {
@@ -207,7 +207,7 @@
             };
             let retention = turn.until.saturating_sub(self.now);
             let (text, team) = (turn.text.clone(), turn.team.clone());
-            carried.push(Carried { name: name.clone(), text, retention, team });
+            carried.push(TransferredTurn { name: name.clone(), text, retention, team });
             next = turn.previous.as_ref();
         }
         carried.reverse();
@@ -215,11 +215,11 @@
     }
 
     /// Keeps the turns of another group that are not known here, each going on from the one before it.
-    fn take_in(&mut self, carried: Vec<Carried>) {
+    fn take_in(&mut self, carried: Vec<TransferredTurn>) {
         let mut previous = None;
-        for Carried { name, text, retention, team } in carried {
+        for TransferredTurn { name, text, retention, team } in carried {
             // What is left of the retention already holds the margin.
-            let kept = Kept { previous, text, retention: retention.saturating_sub(MARGIN) };
+            let kept = RetainedTurn { previous, text, retention: retention.saturating_sub(MARGIN) };
             self.keep(&team, name.clone(), kept);
             previous = Some(name);
         }
@@ -262,12 +262,12 @@
 
 impl StateMachine for TurnState {
     fn apply(&mut self, _position: Position, payload: &Arc<[u8]>) -> Vec<u8> {
-        let reply = Timed::read(payload).map_or(TurnReply::Refused, |timed| self.execute(timed));
+        let reply = TimedCommand::decode(payload).map_or(TurnReply::Refused, |timed| self.execute(timed));
         encode(&reply)
     }
 
     fn follow(&mut self, _position: Position, payload: &Arc<[u8]>) {
-        if let Some(timed) = Timed::read(payload) {
+        if let Some(timed) = TimedCommand::decode(payload) {
             self.execute(timed);
         }
     }
--- a/agatetrestle/src/turns/tests.rs
+++ b/agatetrestle/src/turns/tests.rs
@@ -9,17 +9,17 @@
 use crate::agreement::StateMachine;
 use crate::clock::Timestamp;
 use crate::codec::Blob;
+use crate::turns::clock::LeaderClock;
 use crate::turns::command::Begin;
 use crate::turns::command::Finish;
-use crate::turns::command::Kept;
-use crate::turns::command::Timed;
+use crate::turns::command::RetainedTurn;
+use crate::turns::command::TimedCommand;
 use crate::turns::command::TurnCommand;
 use crate::turns::command::TurnReply;
 use crate::turns::state::TurnState;
-use crate::turns::time::LeaderTime;
 
 mod burst;
-mod door;
+mod limiter;
 
 const RETENTION: u64 = 60_000;
 
@@ -37,7 +37,7 @@
     fn execute(&mut self, at: u64, command: TurnCommand) -> TurnReply {
         let elapsed = Duration::from_millis(at - self.told);
         self.told = at;
-        self.state.execute(Timed { elapsed, command })
+        self.state.execute(TimedCommand { elapsed, command })
     }
 }
 
@@ -56,7 +56,7 @@
 }
 
 fn finish(turn: &str, spent: u64, kept: Option<(&str, Option<&str>)>) -> TurnCommand {
-    let kept = kept.map(|(text, previous)| Kept {
+    let kept = kept.map(|(text, previous)| RetainedTurn {
         previous: previous.map(Into::into),
         text: Blob::from(text.as_bytes()),
         retention: RETENTION,
@@ -176,7 +176,7 @@
         }
     };
     let elapsed = Duration::ZERO;
-    let taken = other.execute(Timed { elapsed, command: by("blue", TurnCommand::Begin(taking)) });
+    let taken = other.execute(TimedCommand { elapsed, command: by("blue", TurnCommand::Begin(taking)) });
     assert_eq!(taken, TurnReply::NoSuchTurn);
     for mut state in [state, Turns::new(restored), Turns::new(other)] {
         for (turn, team) in [("b", "blue"), ("n", "")] {
@@ -216,7 +216,7 @@
     program: &'a str,
     turn: &'a str,
     spent: u64,
-    kept: Option<Kept>,
+    kept: Option<RetainedTurn>,
 }
 
 #[test]
@@ -232,7 +232,7 @@
 
 #[test]
 fn a_full_state_begins_no_turn_and_forgets_none() {
-    let mut state = Turns::new(TurnState::with_room(1_000));
+    let mut state = Turns::new(TurnState::with_max_bytes(1_000));
     for turn in ["a", "b", "c"] {
         state.execute(1, begin(turn, 100, 1, None));
         state.execute(1, finish(turn, 1, Some(("text", None))));
@@ -246,29 +246,33 @@
     for command in
         [begin("a", 9, 3, Some("b")), finish("a", 2, None), finish("a", 2, Some(("said", Some("b"))))]
     {
-        let mut coded = command.code(Duration::ZERO);
-        Timed::stamp(&mut coded, Duration::from_millis(7));
+        let mut coded = command.encode(Duration::ZERO);
+        TimedCommand::set_elapsed(&mut coded, Duration::from_millis(7));
         let payload: Arc<[u8]> = coded.into();
-        let timed = Timed { elapsed: Duration::from_millis(7), command };
-        assert_eq!(Timed::read(&payload), Some(timed));
+        let timed = TimedCommand { elapsed: Duration::from_millis(7), command };
+        assert_eq!(TimedCommand::decode(&payload), Some(timed));
         for length in 0..payload.len().min(20) {
-            assert_eq!(Timed::read(&payload[..length].into()), None, "{length} bytes are no command");
+            assert_eq!(
+                TimedCommand::decode(&payload[..length].into()),
+                None,
+                "{length} bytes are no command"
+            );
         }
     }
-    assert_eq!(Timed::read(&[255; 40][..].into()), None);
+    assert_eq!(TimedCommand::decode(&[255; 40][..].into()), None);
 }
 
 #[test]
 fn leaders_tell_every_millisecond_once() {
-    let mut time = LeaderTime::default();
+    let mut time = LeaderClock::default();
     let at = |micros: u64| Timestamp(5_000_000 + micros);
-    let spans = (0..=1_000).map(|number| time.pass(3, at(number * 300)));
+    let spans = (0..=1_000).map(|number| time.advance(3, at(number * 300)));
     assert_eq!(spans.sum::<Duration>(), Duration::from_millis(300), "parts of milliseconds add up");
-    assert_eq!(time.pass(4, at(60_000_000)), Duration::ZERO, "time without this leader does not count");
-    assert_eq!(time.pass(4, at(60_002_500)), Duration::from_millis(2));
+    assert_eq!(time.advance(4, at(60_000_000)), Duration::ZERO, "time without this leader does not count");
+    assert_eq!(time.advance(4, at(60_002_500)), Duration::from_millis(2));
 }
 
-fn command() -> impl Strategy<Value = Timed> {
+fn command() -> impl Strategy<Value = TimedCommand> {
     let turn = "[a-f]";
     let begins = (turn, 0_u64..40, prop::option::of(turn))
         .prop_map(|(turn, most, previous)| begin(&turn, 100, most, previous.as_deref()));
@@ -279,13 +283,13 @@
             finish(&turn, spent, previous)
         });
     let elapsed = (0_u64..400_000).prop_map(Duration::from_millis);
-    (elapsed, prop_oneof![begins, finishes]).prop_map(|(elapsed, command)| Timed { elapsed, command })
+    (elapsed, prop_oneof![begins, finishes]).prop_map(|(elapsed, command)| TimedCommand { elapsed, command })
 }
 
 proptest! {
     #[test]
     fn a_restored_state_goes_on_like_the_first(commands in prop::collection::vec(command(), 1..60)) {
-        let mut state = TurnState::with_room(2_000);
+        let mut state = TurnState::with_max_bytes(2_000);
         let (before, after) = commands.split_at(commands.len() / 2);
         for command in before {
             state.execute(command.clone());
--- a/agatetrestle/src/turns/tests/burst.rs
+++ b/agatetrestle/src/turns/tests/burst.rs
@@ -22,9 +22,9 @@
 use crate::dispatch::Request;
 use crate::dispatch::ServerKey;
 use crate::scheduler::random::Random;
-use crate::turns::door::Beginning;
-use crate::turns::door::Coming;
-use crate::turns::door::Door;
+use crate::turns::limiter::ProgramLimiter;
+use crate::turns::limiter::ProgramStart;
+use crate::turns::limiter::TurnStart;
 
 const ENTRIES: usize = 57;
 const ENGINES: usize = 48;
@@ -126,7 +126,7 @@
 
 struct World {
     rng: Random,
-    door: Option<Door>,
+    door: Option<ProgramLimiter>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     count: u64,
     entries: Vec<Dispatch>,
@@ -155,7 +155,7 @@
     let instances: Vec<Instance> = (0..ENGINES).map(instance).collect();
     let mut world = World {
         rng: Random::new(seed),
-        door: door.then(Door::default),
+        door: door.then(ProgramLimiter::default),
         events: BinaryHeap::new(),
         count: 0,
         entries: Vec::new(),
@@ -234,7 +234,7 @@
             let places = u32::try_from(ENGINES).unwrap() * PLACES;
             let owner = name(program as u64);
             let finish_in = self.programs[program].deadline.saturating_sub(now);
-            let coming = Coming {
+            let coming = ProgramStart {
                 service: &service,
                 kind: &service,
                 places,
@@ -248,7 +248,7 @@
             }
             let turn = &name(ticket);
             let patience = Duration::from_micros(PATIENCE);
-            let beginning = Beginning { service: &service, kind: &service, program: &owner, turn, patience };
+            let beginning = TurnStart { service: &service, kind: &service, program: &owner, turn, patience };
             door.begin(Timestamp(now), beginning);
         }
         self.programs[program].begun = true;
--- a/agatetrestle/src/turns/tests/limiter.rs
+++ b/agatetrestle/src/turns/tests/limiter.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use crate::clock::Timestamp;
-use crate::turns::door::Beginning;
-use crate::turns::door::Coming;
-use crate::turns::door::Door;
+use crate::turns::limiter::ProgramLimiter;
+use crate::turns::limiter::ProgramStart;
+use crate::turns::limiter::TurnStart;
 
 const PLACES: u32 = 100;
 /// Programs that have a turn open: more than there are places.
@@ -22,10 +22,10 @@
 }
 
 /// Whether a program may begin, with five seconds to go.
-fn admit(door: &mut Door, millis: u64, program: &str) -> bool {
+fn admit(door: &mut ProgramLimiter, millis: u64, program: &str) -> bool {
     let (service, kind, program) = (name("engines"), name("chat"), name(program));
     let finish_in = Some(Duration::from_secs(5));
-    let coming = Coming {
+    let coming = ProgramStart {
         service: &service,
         kind: &kind,
         places: PLACES,
@@ -36,16 +36,16 @@
     door.admit(at(millis), coming).is_ok()
 }
 
-fn begin(door: &mut Door, millis: u64, program: &str) {
+fn begin(door: &mut ProgramLimiter, millis: u64, program: &str) {
     let (service, kind, program) = (name("engines"), name("chat"), name(program));
     let beginning =
-        Beginning { service: &service, kind: &kind, program: &program, turn: &program, patience: PATIENCE };
+        TurnStart { service: &service, kind: &kind, program: &program, turn: &program, patience: PATIENCE };
     door.begin(at(millis), beginning);
 }
 
 /// A door behind which too many programs have had a turn open for a while; `x` has been turned away.
-fn crowded() -> Door {
-    let mut door = Door::default();
+fn crowded() -> ProgramLimiter {
+    let mut door = ProgramLimiter::default();
     for number in 0..PROGRAMS {
         begin(&mut door, 0, &number.to_string());
     }
--- a/agatetrestle/tests/store_memory.rs
+++ b/agatetrestle/tests/store_memory.rs
@@ -21,7 +21,7 @@
 use agatetrestle::node::replicas::Opener;
 use agatetrestle::turns::command::Begin;
 use agatetrestle::turns::command::Finish;
-use agatetrestle::turns::command::Kept;
+use agatetrestle::turns::command::RetainedTurn;
 use agatetrestle::turns::command::TurnCommand;
 use agatetrestle::turns::state::TurnState;
 use agatetrestle_config::settings::Storage;
@@ -68,7 +68,7 @@
 
 fn finish(turn: &str) -> TurnCommand {
     let text = Blob::from(&[b'x'; TEXT][..]);
-    let kept = Some(Kept { previous: None, text, retention: 60_000 });
+    let kept = Some(RetainedTurn { previous: None, text, retention: 60_000 });
     TurnCommand::Finish(Finish {
         program: turn.into(),
         team: "".into(),
@@ -92,7 +92,7 @@
         links: &links,
         executor,
     };
-    let machine = TurnState::with_room(ROOM);
+    let machine = TurnState::with_max_bytes(ROOM);
     let started = opener.open(FIRST_STATE_GROUP, machine, &[NODE], Missing::Bootstrap).await.unwrap();
     while !started.group.leads() {
         Timer::after(Duration::from_millis(5)).await;
@@ -105,7 +105,7 @@
     for number in 0..bytes / TEXT {
         let turn = format!("{name}-{number}");
         for command in [begin(&turn), finish(&turn)] {
-            let payload: Arc<[u8]> = command.code(Duration::from_millis(1)).into();
+            let payload: Arc<[u8]> = command.encode(Duration::from_millis(1)).into();
             assert!(matches!(store.group.submit(payload).await, Verdict::Applied(_)));
         }
     }
