--- a/agatetrestle/src/entry/begin.rs
+++ b/agatetrestle/src/entry/begin.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::attempts::Ending;
-use crate::entry::Entry;
+use crate::entry::ApiServer;
 use crate::entry::carry::Begun;
 use crate::entry::carry::Carried;
 use crate::entry::known::Known;
@@ -187,7 +187,7 @@
 
 /// Whether somebody may still be working on an attempt. A node that is merely silent may be paused; its
 /// attempt is over for our purposes, since the ledger takes its word no more once it is replaced.
-fn is_carried_on(entry: &Entry, attempt: AttemptId) -> bool {
+fn is_carried_on(entry: &ApiServer, attempt: AttemptId) -> bool {
     if attempt.node == entry.node {
         let same = attempt.incarnation == entry.incarnation;
         return same && entry.state.active.borrow().contains(&attempt);
--- a/agatetrestle/src/entry/calls.rs
+++ b/agatetrestle/src/entry/calls.rs
@@ -23,8 +23,8 @@
 use crate::attempts::Outgoing;
 use crate::attempts::PROGRAM_HEADER;
 use crate::attempts::prefix;
+use crate::entry::ApiServer;
 use crate::entry::Counted;
-use crate::entry::Entry;
 use crate::entry::carry;
 use crate::entry::connection::Context;
 use crate::entry::problem::Problem;
@@ -152,7 +152,7 @@
     start(cx, planned, gone).await
 }
 
-fn plan_model(entry: &Entry, request: &Request, body: &[u8]) -> Result<Planned, Problem> {
+fn plan_model(entry: &ApiServer, request: &Request, body: &[u8]) -> Result<Planned, Problem> {
     let (program, call) = named(request)?;
     let mut value: Value = serde_json::from_slice(body).map_err(|e| routes::malformed(e.to_string()))?;
     let form = value.as_object_mut().ok_or_else(|| routes::malformed("the request is no object"))?;
@@ -201,7 +201,7 @@
 }
 
 fn plan_service(
-    entry: &Entry,
+    entry: &ApiServer,
     request: &Request,
     body: &[u8],
     name: &str,
--- a/agatetrestle/src/entry/carry.rs
+++ b/agatetrestle/src/entry/carry.rs
@@ -17,7 +17,7 @@
 use crate::attempts::Reply;
 use crate::attempts::Times;
 use crate::clock::Timestamp;
-use crate::entry::Entry;
+use crate::entry::ApiServer;
 use crate::entry::calls::Parts;
 use crate::entry::calls::Planned;
 use crate::entry::known::Known;
@@ -38,7 +38,7 @@
 
 /// One call that this node carries through; its attempt counts as active for as long as it lives.
 pub(super) struct Carried<'a> {
-    pub(super) entry: &'a Rc<Entry>,
+    pub(super) entry: &'a Rc<ApiServer>,
     pub(super) planned: &'a Planned,
     pub(super) attempt: AttemptId,
     pub(super) reserve: Cell<u64>,
@@ -62,7 +62,7 @@
 
 /// Carries one call through and tells its end. A settlement that the ledger did not take is tried
 /// again after the caller has been told, since nobody shall wait for it.
-pub async fn run(entry: &Rc<Entry>, planned: &Planned, parts: &Parts, gone: &Receiver<()>) {
+pub async fn run(entry: &Rc<ApiServer>, planned: &Planned, parts: &Parts, gone: &Receiver<()>) {
     let carried = Carried::new(entry, planned, parts);
     let result = carried.through(gone).await;
     parts.end(result);
@@ -110,7 +110,7 @@
 }
 
 impl<'a> Carried<'a> {
-    fn new(entry: &'a Rc<Entry>, planned: &'a Planned, parts: &'a Parts) -> Self {
+    fn new(entry: &'a Rc<ApiServer>, planned: &'a Planned, parts: &'a Parts) -> Self {
         let attempt = entry.next_attempt();
         entry.state.active.borrow_mut().insert(attempt);
         let partner = planned.outgoing.program.partner.clone();
@@ -150,9 +150,9 @@
         };
         self.labels.borrow_mut().class = known.view.spec.class.clone();
         self.entry.state.known.learn(&known.view, known.root.clone());
-        self.entry.calls.configure(&self.entry.control.configuration());
+        self.entry.dispatcher.configure(&self.entry.control.configuration());
         let times = Cell::new(Times::default());
-        let outcome = self.entry.calls.run(&self.job(known), self, gone, &times).await;
+        let outcome = self.entry.dispatcher.run(&self.job(known), self, gone, &times).await;
         let settled = self.settle(outcome, times.get().lost_tokens).await;
         self.measure(times.get());
         settled
--- a/agatetrestle/src/entry/connection.rs
+++ b/agatetrestle/src/entry/connection.rs
@@ -13,8 +13,8 @@
 use smol::net::TcpStream;
 
 use crate::attempts::timer::within;
+use crate::entry::ApiServer;
 use crate::entry::Counted;
-use crate::entry::Entry;
 use crate::entry::guard::Guard;
 use crate::entry::problem::Problem;
 use crate::entry::problem::Reason;
@@ -30,13 +30,13 @@
 #[derive(Clone)]
 pub struct Context {
     /// The entry.
-    pub entry: Rc<Entry>,
+    pub entry: Rc<ApiServer>,
     /// Where tasks that outlive the connection run.
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
 /// A connection counts towards the limit for as long as it lives.
-struct Place(Rc<Entry>);
+struct Place(Rc<ApiServer>);
 
 impl Drop for Place {
     fn drop(&mut self) {
@@ -98,7 +98,7 @@
 }
 
 /// Writes a response as it comes; false where the caller does not take it in.
-async fn write(entry: &Entry, stream: &mut TcpStream, response: Response, method: Method) -> bool {
+async fn write(entry: &ApiServer, stream: &mut TcpStream, response: Response, method: Method) -> bool {
     let mut encoder = Encoder::new(response, method);
     let mut buf = vec![0; WRITE_SIZE];
     loop {
@@ -116,7 +116,7 @@
 }
 
 /// Sends a refusal and closes. What the caller is still sending is read for a bounded while.
-async fn refuse(entry: &Entry, stream: &mut TcpStream, problem: &Problem) {
+async fn refuse(entry: &ApiServer, stream: &mut TcpStream, problem: &Problem) {
     let mut response = problem.response();
     response.insert_header("Connection", "close");
     if !write(entry, stream, response, Method::Get).await {
--- a/agatetrestle/src/entry/mod.rs
+++ b/agatetrestle/src/entry/mod.rs
@@ -38,7 +38,7 @@
 use crate::ports::Recorder;
 
 /// Everything the entry needs from the rest of the node.
-pub struct Entry {
+pub struct ApiServer {
     /// The ledger of all programs.
     pub ledger: Rc<dyn Ledger>,
     /// The control group, for the declarations in force.
@@ -46,7 +46,7 @@
     /// The members, for address answers and to judge another node's open attempts.
     pub members: Rc<dyn Members>,
     /// Where calls are sent from.
-    pub calls: Rc<Dispatcher>,
+    pub dispatcher: Rc<Dispatcher>,
     /// Takes in measures.
     pub recorder: Rc<dyn Recorder>,
     /// Wakes tasks after a time.
@@ -62,12 +62,12 @@
     /// Set once the node is about to stop: new work is refused, what is in flight goes on.
     pub stopping: Rc<Cell<bool>>,
     /// What the entry itself keeps; start with the default.
-    pub state: State,
+    pub state: RuntimeState,
 }
 
 /// Soft state of the entry; losing it loses nothing durable.
 #[derive(Default)]
-pub struct State {
+pub struct RuntimeState {
     in_flight: Cell<usize>,
     connections: Cell<u32>,
     last_attempt: Cell<u64>,
@@ -77,9 +77,9 @@
 }
 
 /// Counts something for as long as it lives.
-struct Counted(Rc<Entry>);
+struct Counted(Rc<ApiServer>);
 
-impl Entry {
+impl ApiServer {
     /// Requests that were taken and are not yet settled, their last byte included.
     #[must_use]
     pub fn in_flight(&self) -> usize {
@@ -94,7 +94,7 @@
 }
 
 impl Counted {
-    fn new(entry: &Rc<Entry>) -> Self {
+    fn new(entry: &Rc<ApiServer>) -> Self {
         let count = &entry.state.in_flight;
         count.set(count.get() + 1);
         Self(Rc::clone(entry))
@@ -109,7 +109,7 @@
 }
 
 /// Serves callers until the task is dropped. Each connection is a task of its own on `executor`.
-pub async fn serve(entry: Rc<Entry>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
+pub async fn serve(entry: Rc<ApiServer>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
--- a/agatetrestle/src/entry/programs.rs
+++ b/agatetrestle/src/entry/programs.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::entry::Entry;
+use crate::entry::ApiServer;
 use crate::entry::problem::Problem;
 use crate::entry::problem::Reason;
 use crate::entry::problem::Told;
@@ -71,7 +71,7 @@
 /// # Errors
 ///
 /// Refuses a malformed program name.
-pub fn addresses(entry: &Entry, request: &Request) -> Result<Response, Problem> {
+pub fn addresses(entry: &ApiServer, request: &Request) -> Result<Response, Problem> {
     let program = match routes::query(request, "program") {
         Some(text) => Some(routes::program(Some(&text))?),
         None => None,
@@ -91,7 +91,7 @@
 /// # Errors
 ///
 /// Refuses what the declarations in force or the ledger don't allow.
-pub async fn open(entry: &Rc<Entry>, mut request: Request) -> Result<Response, Problem> {
+pub async fn open(entry: &Rc<ApiServer>, mut request: Request) -> Result<Response, Problem> {
     let key = routes::key(&request)?;
     let body = request.body_bytes().await.map_err(|e| routes::malformed(e.to_string()))?;
     let opening: Opening = serde_json::from_slice(&body).map_err(|e| routes::malformed(e.to_string()))?;
@@ -111,7 +111,7 @@
     Ok(json(StatusCode::Created, &form(&view)))
 }
 
-fn prepare(entry: &Entry, opening: &Opening, key: RequestKey) -> Result<ProgramCommand, Problem> {
+fn prepare(entry: &ApiServer, opening: &Opening, key: RequestKey) -> Result<ProgramCommand, Problem> {
     let declared = entry.state.declared.of(&entry.control.configuration());
     let class = declared.class(&opening.partner, &opening.team, &opening.class)?;
     let budget = opening.budget.unwrap_or(class.budget);
@@ -140,7 +140,7 @@
 
 /// A node that takes no new work still answers a resend: the ledger gives the first answer again. If the
 /// program does not exist the opening did not run, and without the ledger's word nobody can say.
-async fn opened_before(entry: &Entry, program: &ProgramId) -> Result<(), Told> {
+async fn opened_before(entry: &ApiServer, program: &ProgramId) -> Result<(), Told> {
     match entry.ledger.query(ProgramQuery::Program(program.clone())).await {
         Ok(QueryReply::One(ProgramReply::Done(_))) => Ok(()),
         Ok(_) => Err(Told::NotRun),
@@ -165,18 +165,18 @@
 /// # Errors
 ///
 /// Refuses what the ledger refuses.
-pub async fn end(entry: &Rc<Entry>, request: &Request) -> Result<Response, Problem> {
+pub async fn end(entry: &Rc<ApiServer>, request: &Request) -> Result<Response, Problem> {
     let program = routes::program_in_query(request)?;
     let reply = entry.ledger.commit(ProgramCommand::End { program: program.clone() }).await;
     let view = done(reply)?;
     measure_end(entry, &view);
-    entry.calls.step(crate::scheduler::event::Event::Ended(program));
+    entry.dispatcher.step(crate::scheduler::event::Event::Ended(program));
     Ok(json(StatusCode::Ok, &form(&view)))
 }
 
 /// Records the latency of a program that has ended, from its opening to its final answer; where another node
 /// gave that answer, to its end.
-fn measure_end(entry: &Entry, view: &ProgramView) {
+fn measure_end(entry: &ApiServer, view: &ProgramView) {
     let known = entry.state.known.forget(&view.program);
     let answered_at = known.map_or(0, |known| known.answered_at);
     let until = if answered_at > 0 { answered_at } else { wall_clock() };
@@ -190,7 +190,7 @@
 /// # Errors
 ///
 /// Refuses where there is none, or none yet.
-pub async fn stored(entry: &Rc<Entry>, request: &Request) -> Result<Response, Problem> {
+pub async fn stored(entry: &Rc<ApiServer>, request: &Request) -> Result<Response, Problem> {
     let program = routes::program_in_query(request)?;
     let key = routes::usable_key(&routes::query(request, "key").unwrap_or_default())?;
     let reply = entry.ledger.query(ProgramQuery::Request(program, key)).await;
--- a/agatetrestle/src/entry/routes.rs
+++ b/agatetrestle/src/entry/routes.rs
@@ -8,7 +8,7 @@
 use smol::channel::Receiver;
 
 use crate::attempts::KEY_HEADER;
-use crate::entry::Entry;
+use crate::entry::ApiServer;
 use crate::entry::calls;
 use crate::entry::connection::Context;
 use crate::entry::problem::Problem;
@@ -70,7 +70,7 @@
 /// # Errors
 ///
 /// Says why not.
-pub fn taking_work(entry: &Entry) -> Result<(), Problem> {
+pub fn taking_work(entry: &ApiServer) -> Result<(), Problem> {
     if entry.stopping.get() {
         return Err(NotTaking::Stopping.into());
     }
@@ -79,7 +79,7 @@
 }
 
 /// Counts a refusal and passes it on.
-pub fn counted(entry: &Entry, labels: &Labels, problem: Problem) -> Problem {
+pub fn counted(entry: &ApiServer, labels: &Labels, problem: Problem) -> Problem {
     entry.recorder.record(labels, &Measure::Refused(problem.label()));
     problem
 }
--- a/agatetrestle/src/node/assembly.rs
+++ b/agatetrestle/src/node/assembly.rs
@@ -16,7 +16,7 @@
 use crate::clock::Clock;
 use crate::clock::micros;
 use crate::entry;
-use crate::entry::Entry;
+use crate::entry::ApiServer;
 use crate::ids::CONTROL_GROUP;
 use crate::ids::FIRST_STATE_GROUP;
 use crate::ids::GroupId;
@@ -127,12 +127,12 @@
         }
     }
 
-    pub(super) fn entry(&self, metrics: &Rc<Metrics>) -> Entry {
-        Entry {
+    pub(super) fn entry(&self, metrics: &Rc<Metrics>) -> ApiServer {
+        ApiServer {
             ledger: self.ledger.clone(),
             control: self.control.clone(),
             members: self.heartbeats.clone(),
-            calls: self.calls.clone(),
+            dispatcher: self.calls.clone(),
             recorder: metrics.clone(),
             timer: Rc::new(SystemTimer),
             clock: self.clock,
@@ -140,7 +140,7 @@
             incarnation: self.incarnation,
             limits: self.settings.callers.clone(),
             stopping: self.stopping.clone(),
-            state: entry::State::default(),
+            state: entry::RuntimeState::default(),
         }
     }
 
--- a/agatetrestle/src/node/mod.rs
+++ b/agatetrestle/src/node/mod.rs
@@ -39,7 +39,7 @@
 use crate::clock::Clock;
 use crate::control::state::ControlState;
 use crate::entry;
-use crate::entry::Entry;
+use crate::entry::ApiServer;
 use crate::history::file::FileHistory;
 use crate::ids::CONTROL_GROUP;
 use crate::ids::FIRST_STATE_GROUP;
@@ -77,7 +77,7 @@
     settings: Settings,
     addresses: Listen,
     stopping: Rc<Cell<bool>>,
-    entry: Rc<Entry>,
+    entry: Rc<ApiServer>,
     heartbeats: Rc<Heartbeats>,
     control: Option<Rc<Group<ControlState>>>,
     state: Option<Rc<Group<Ledger>>>,
--- a/agatetrestle/tests/support/mod.rs
+++ b/agatetrestle/tests/support/mod.rs
@@ -20,7 +20,7 @@
 use agatetrestle::control::command::ControlReply;
 use agatetrestle::control::command::Document;
 use agatetrestle::entry;
-use agatetrestle::entry::Entry;
+use agatetrestle::entry::ApiServer;
 use agatetrestle::ids::NodeId;
 use agatetrestle::ids::ProgramId;
 use agatetrestle::ports;
@@ -266,7 +266,7 @@
 }
 
 pub struct Node {
-    pub entry: Rc<Entry>,
+    pub entry: Rc<ApiServer>,
     pub client: Client,
     serving: Task<()>,
 }
@@ -304,11 +304,11 @@
         let clock = Clock::start();
         let scheduler = Rc::new(RefCell::new(scheduler));
         let calls = Rc::new(Dispatcher::new(scheduler, backends.clone(), backends, Rc::clone(&timer), clock));
-        let entry = Rc::new(Entry {
+        let entry = Rc::new(ApiServer {
             ledger: self.ledger.clone(),
             control: self.control.clone(),
             members: self.members.clone(),
-            calls,
+            dispatcher: calls,
             recorder: self.recorder.clone(),
             timer,
             clock,
@@ -316,7 +316,7 @@
             incarnation: 1,
             limits: self.limits.clone(),
             stopping: Rc::default(),
-            state: entry::State::default(),
+            state: entry::RuntimeState::default(),
         });
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/agatetrestle/tests/upkeep.rs
+++ b/agatetrestle/tests/upkeep.rs
@@ -97,7 +97,7 @@
         let told = Rc::new(RefCell::new(Told::default()));
         let scheduler = Releasing { inner: Baseline::default(), told: Rc::clone(&told) };
         let node = rig.node_with(1, Box::new(scheduler)).await;
-        let calls = Rc::clone(&node.entry.calls);
+        let calls = Rc::clone(&node.entry.dispatcher);
         executor.spawn(async move { calls.run_ticks().await }).detach();
         rig.open(&node).await;
         let form = chat_form("small", &"You find replacements. ".repeat(60), "Ana is ill.", 2);
