--- a/agatetrestle/examples/slopes/ledger.rs
+++ b/agatetrestle/examples/slopes/ledger.rs
@@ -14,7 +14,7 @@
 use agatetrestle::programs::command::ProgramReply;
 use agatetrestle::programs::command::ProgramSpec;
 use agatetrestle::programs::command::Repeatable;
-use agatetrestle::programs::ledger::Ledger;
+use agatetrestle::programs::ledger::LedgerState;
 
 use crate::fit::Line;
 use crate::fit::Unit;
@@ -73,7 +73,7 @@
     ProgramCommand::Finish { program: program(number), call: CallNumber(call), attempt, answer, spent: 5 }
 }
 
-fn execute(ledger: &mut Ledger, command: ProgramCommand) {
+fn execute(ledger: &mut LedgerState, command: ProgramCommand) {
     let reply = ledger.execute(command);
     assert!(matches!(reply, ProgramReply::Done(_)), "a command was answered by {reply:?}");
 }
@@ -82,7 +82,7 @@
 pub fn measure() -> Vec<Line> {
     let folder = std::env::temp_dir().join(format!("agatetrestle-slopes-{}", std::process::id()));
     let history = FileHistory::open(&folder, SEGMENT).expect("the temporary folder can be used");
-    let mut ledger = Ledger::new(Box::new(history));
+    let mut ledger = LedgerState::new(Box::new(history));
     let body: Arc<[u8]> = vec![b'x'; BODY].into();
     let mut idle = Vec::new();
     let mut snapshot = Vec::new();
@@ -119,7 +119,7 @@
 }
 
 /// Gives every program some calls and returns the memory by calls.
-fn calls(ledger: &mut Ledger, programs: u32, body: &Arc<[u8]>) -> Vec<(f64, f64)> {
+fn calls(ledger: &mut LedgerState, programs: u32, body: &Arc<[u8]>) -> Vec<(f64, f64)> {
     let mut samples = Vec::new();
     let base = resident();
     for call in 1..=CALLS {
@@ -134,7 +134,7 @@
     samples
 }
 
-fn pairs(ledger: &mut Ledger, known: u32, body: &Arc<[u8]>) -> Vec<(f64, f64)> {
+fn pairs(ledger: &mut LedgerState, known: u32, body: &Arc<[u8]>) -> Vec<(f64, f64)> {
     let mut samples = Vec::new();
     let mut next = CALLS;
     for size in SIZES.into_iter().filter(|size| *size <= known) {
--- a/agatetrestle/src/node/mod.rs
+++ b/agatetrestle/src/node/mod.rs
@@ -65,7 +65,7 @@
 use crate::ports::Control;
 use crate::ports::Groups;
 use crate::ports::Members;
-use crate::programs::ledger::Ledger;
+use crate::programs::ledger::LedgerState;
 
 /// How often a planned stop looks whether the last request is done.
 const STOP_POLL: Duration = Duration::from_millis(20);
@@ -80,7 +80,7 @@
     entry: Rc<ApiServer>,
     heartbeats: Rc<Heartbeats>,
     control: Option<Rc<Group<ControlState>>>,
-    state: Option<Rc<Group<Ledger>>>,
+    state: Option<Rc<Group<LedgerState>>>,
     groups: Rc<dyn Groups>,
     ledger: Rc<dyn ports::Ledger>,
     tasks: RefCell<Vec<Task<()>>>,
@@ -89,7 +89,7 @@
 /// The replicas that the node holds, with what other nodes may ask of them.
 struct Replicas {
     control: Option<Rc<Group<ControlState>>>,
-    state: Option<Rc<Group<Ledger>>>,
+    state: Option<Rc<Group<LedgerState>>>,
     tasks: Vec<Task<()>>,
 }
 
@@ -300,11 +300,11 @@
 }
 
 /// A ledger over its history; one in memory where the node holds no replica, since it is never used.
-fn open_ledger(settings: &Settings) -> Result<Ledger, NodeError> {
+fn open_ledger(settings: &Settings) -> Result<LedgerState, NodeError> {
     let Some(folder) = &settings.storage.data_folder else {
-        return Ok(Ledger::default());
+        return Ok(LedgerState::default());
     };
     let folder = folder.join(format!("history-{}", FIRST_STATE_GROUP.0));
     let history = FileHistory::open(&folder, settings.storage.segment);
-    Ok(Ledger::new(Box::new(history.context(OpenHistorySnafu { folder })?)))
+    Ok(LedgerState::new(Box::new(history.context(OpenHistorySnafu { folder })?)))
 }
--- a/agatetrestle/src/node/service.rs
+++ b/agatetrestle/src/node/service.rs
@@ -16,7 +16,7 @@
 use crate::node::group::Group;
 use crate::node::group::Verdict;
 use crate::programs::command::ProgramRequest;
-use crate::programs::ledger::Ledger;
+use crate::programs::ledger::LedgerState;
 
 /// What became of a request to a group.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -84,7 +84,7 @@
 }
 
 /// A state group's replica.
-pub struct LedgerService(pub Rc<Group<Ledger>>);
+pub struct LedgerService(pub Rc<Group<LedgerState>>);
 
 impl LedgerService {
     async fn serve(&self, request: Vec<u8>) -> Submission {
--- a/agatetrestle/src/programs/ledger.rs
+++ b/agatetrestle/src/programs/ledger.rs
@@ -35,18 +35,18 @@
 
 /// Programs by identity; ordered, so that every replica codes the same snapshot. The bodies of requests
 /// and answers stand in the history.
-pub struct Ledger {
+pub struct LedgerState {
     programs: BTreeMap<ProgramId, Program>,
     history: Box<dyn History>,
 }
 
-impl Default for Ledger {
+impl Default for LedgerState {
     fn default() -> Self {
         Self::new(Box::new(MemoryHistory::default()))
     }
 }
 
-impl Ledger {
+impl LedgerState {
     /// An empty ledger over a history.
     #[must_use]
     pub fn new(history: Box<dyn History>) -> Self {
@@ -177,7 +177,7 @@
     }
 }
 
-impl StateMachine for Ledger {
+impl StateMachine for LedgerState {
     fn apply(&mut self, _position: Position, payload: &Arc<[u8]>) -> Vec<u8> {
         let reply = match decode::<ProgramCommand>(payload) {
             Ok(command) => self.execute(command),
--- a/agatetrestle/src/programs/tests.rs
+++ b/agatetrestle/src/programs/tests.rs
@@ -18,7 +18,7 @@
 use crate::programs::command::QueryReply;
 use crate::programs::command::Refusal;
 use crate::programs::command::Repeatable;
-use crate::programs::ledger::Ledger;
+use crate::programs::ledger::LedgerState;
 
 const BUDGET: u64 = 1_000;
 
@@ -85,8 +85,8 @@
     }
 }
 
-fn ledger() -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger() -> LedgerState {
+    let mut ledger = LedgerState::default();
     done(ledger.execute(open("vrsta/a", BUDGET, None)));
     ledger
 }
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_reservation_beyond_the_budget_is_refused() {
-    let mut ledger = Ledger::default();
+    let mut ledger = LedgerState::default();
     done(ledger.execute(open("vrsta/a", 150, None)));
     done(ledger.execute(begin("vrsta/a", 1, attempt(1, 1), Repeatable::Yes)));
     done(ledger.execute(finish("vrsta/a", 1, attempt(1, 1), 80)));
@@ -221,7 +221,7 @@
 
 #[test]
 fn a_repeatable_call_in_doubt_may_be_sent_again_within_the_budget() {
-    let mut ledger = Ledger::default();
+    let mut ledger = LedgerState::default();
     done(ledger.execute(open("vrsta/a", 250, None)));
     done(ledger.execute(begin("vrsta/a", 1, attempt(1, 1), Repeatable::Yes)));
     done(ledger.execute(doubt("vrsta/a", 1, attempt(1, 1))));
@@ -256,7 +256,7 @@
     done(ledger.execute(begin("vrsta/a", 1, attempt(1, 1), Repeatable::No)));
     done(ledger.execute(finish("vrsta/a", 1, attempt(1, 1), 10)));
     let snapshot = ledger.snapshot();
-    let mut restored = Ledger::default();
+    let mut restored = LedgerState::default();
     assert!(restored.restore(&snapshot).is_err(), "the history is missing");
     let end = restored.history_end(&snapshot).unwrap();
     let bytes = ledger.history().unwrap().copy(0, usize::try_from(end).unwrap()).unwrap();
@@ -270,7 +270,7 @@
 
 #[test]
 fn a_snapshot_does_not_hold_the_history() {
-    let mut ledger = Ledger::default();
+    let mut ledger = LedgerState::default();
     done(ledger.execute(open("vrsta/a", BUDGET, None)));
     done(ledger.execute(begin("vrsta/a", 1, attempt(1, 1), Repeatable::No)));
     let body: Arc<[u8]> = vec![b'x'; 1 << 20].into();
@@ -288,7 +288,7 @@
 
 #[test]
 fn a_program_makes_no_more_calls_than_its_class_allows() {
-    let mut ledger = Ledger::default();
+    let mut ledger = LedgerState::default();
     let spec = ProgramSpec { turns: 2, ..spec(BUDGET, None) };
     done(ledger.execute(ProgramCommand::Open { program: id("vrsta/a"), key: key("open"), spec, at: 7 }));
     for call in 1..=2 {
@@ -311,7 +311,7 @@
     ProgramCommand::Resolve { program: id("vrsta/a"), call: CallNumber(call), ran, note: "seen".into() }
 }
 
-fn ledger_in_doubt() -> Ledger {
+fn ledger_in_doubt() -> LedgerState {
     let mut ledger = ledger();
     done(ledger.execute(begin("vrsta/a", 1, attempt(1, 1), Repeatable::No)));
     done(ledger.execute(doubt("vrsta/a", 1, attempt(1, 1))));
--- a/agatetrestle/tests/support/mod.rs
+++ b/agatetrestle/tests/support/mod.rs
@@ -37,7 +37,7 @@
 use agatetrestle::programs::command::ProgramReply;
 use agatetrestle::programs::command::ProgramView;
 use agatetrestle::programs::command::QueryReply;
-use agatetrestle::programs::ledger::Ledger;
+use agatetrestle::programs::ledger::LedgerState;
 use agatetrestle::scheduler::Scheduler;
 use agatetrestle::scheduler::baseline::Baseline;
 use agatetrestle_config::settings::Callers;
@@ -68,7 +68,7 @@
 /// The ledger of all nodes of a test.
 #[derive(Default)]
 pub struct SharedLedger {
-    ledger: RefCell<Ledger>,
+    ledger: RefCell<LedgerState>,
     faults: RefCell<Vec<Fault>>,
     pub commands: RefCell<Vec<String>>,
     /// Whether the next answers are held back from being stored, and how many are.
--- a/agatetrestle_cli/tests/support/mod.rs
+++ b/agatetrestle_cli/tests/support/mod.rs
@@ -36,7 +36,7 @@
 use agatetrestle::programs::command::ProgramQuery;
 use agatetrestle::programs::command::ProgramReply;
 use agatetrestle::programs::command::QueryReply;
-use agatetrestle::programs::ledger::Ledger as LedgerState;
+use agatetrestle::programs::ledger::LedgerState;
 use agatetrestle_cli::client::Client;
 use futures::future::LocalBoxFuture;
 use smol::LocalExecutor;
