--- a/agatetrestle/src/ports.rs
+++ b/agatetrestle/src/ports.rs
@@ -238,7 +238,7 @@
     fn record(&self, labels: &Labels, measure: &Measure);
 
     /// Sets the prefix cache that live programs hold on this node's account, and what was wasted of it
-    /// since the start, in tokens; see [`crate::retention::account`].
+    /// since the start, in tokens; see [`crate::retention::cache_usage`].
     fn cache(&self, held: u64, wasted: u64);
 
     /// Counts a report to control by what became of it, and times it.
--- a/agatetrestle/src/retention/account.rs
+++ b/agatetrestle/src/retention/cache_usage.rs
@@ -6,43 +6,43 @@
 
 /// The sums over all programs of a node, in tokens.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct CacheAccount {
+pub struct CacheUsage {
     /// Held by programs under way; a prefix that several share counts for each.
-    pub held: u64,
+    pub held_tokens: u64,
     /// Wasted since the start.
-    pub wasted: u64,
+    pub wasted_tokens: u64,
 }
 
 /// One program's part of the account.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct ProgramCache {
+pub struct ProgramCacheUsage {
     held: u64,
     computed: u64,
     unread: u64,
 }
 
-impl CacheAccount {
+impl CacheUsage {
     /// A model call has its answer: `cached` of its `prompt` tokens were read from the cache.
-    pub fn answered(&mut self, program: &mut ProgramCache, prompt: u64, cached: u64, output: u64) {
-        self.wasted += program.computed.min(prompt).saturating_sub(cached);
+    pub fn record_call(&mut self, program: &mut ProgramCacheUsage, prompt: u64, cached: u64, output: u64) {
+        self.wasted_tokens += program.computed.min(prompt).saturating_sub(cached);
         program.unread = prompt.saturating_sub(cached) + output;
         program.computed = prompt + output;
         self.hold(program, program.computed);
     }
 
     /// The engine was told to drop or export what the program holds.
-    pub fn released(&mut self, program: &mut ProgramCache) {
+    pub fn record_release(&mut self, program: &mut ProgramCacheUsage) {
         self.hold(program, 0);
     }
 
     /// The program has ended.
-    pub fn ended(&mut self, mut program: ProgramCache) {
-        self.wasted += program.unread;
+    pub fn record_end(&mut self, mut program: ProgramCacheUsage) {
+        self.wasted_tokens += program.unread;
         self.hold(&mut program, 0);
     }
 
-    fn hold(&mut self, program: &mut ProgramCache, tokens: u64) {
-        self.held = self.held - program.held + tokens;
+    fn hold(&mut self, program: &mut ProgramCacheUsage, tokens: u64) {
+        self.held_tokens = self.held_tokens - program.held + tokens;
         program.held = tokens;
     }
 }
--- a/agatetrestle/src/retention/returns.rs
+++ b/agatetrestle/src/retention/pauses.rs
@@ -26,7 +26,7 @@
 }
 
 impl Histogram {
-    fn learn(&mut self, away: Duration) {
+    fn record(&mut self, away: Duration) {
         self.counts[bucket(away)] += 1;
         self.total += 1;
         if self.total < FORGET_AFTER {
@@ -56,22 +56,22 @@
 
 /// Histograms of the time between an answer and the next call, by class and tool and by class.
 #[derive(Debug, Default)]
-pub struct Returns {
+pub struct PauseHistograms {
     by_tool: HashMap<(Arc<str>, Option<Arc<str>>), Histogram>,
 }
 
-impl Returns {
+impl PauseHistograms {
     /// Takes in a pause that is over.
-    pub fn learn(&mut self, class: &Arc<str>, tool: Option<&Arc<str>>, away: Duration) {
-        self.by_tool.entry((class.clone(), None)).or_default().learn(away);
+    pub fn record(&mut self, class: &Arc<str>, tool: Option<&Arc<str>>, away: Duration) {
+        self.by_tool.entry((class.clone(), None)).or_default().record(away);
         if let Some(tool) = tool {
-            self.by_tool.entry((class.clone(), Some(tool.clone()))).or_default().learn(away);
+            self.by_tool.entry((class.clone(), Some(tool.clone()))).or_default().record(away);
         }
     }
 
     /// The time by which this share of pauses, in percent, was over.
     #[must_use]
-    pub fn expected(&self, class: &Arc<str>, tool: Option<&Arc<str>>, percent: u32) -> Duration {
+    pub fn quantile(&self, class: &Arc<str>, tool: Option<&Arc<str>>, percent: u32) -> Duration {
         let of = |tool: Option<Arc<str>>| {
             let histogram = self.by_tool.get(&(class.clone(), tool));
             histogram.and_then(|histogram| histogram.quantile(percent))
--- a/agatetrestle/src/scheduler/core/memory.rs
+++ b/agatetrestle/src/scheduler/core/memory.rs
@@ -127,7 +127,7 @@
         };
         let class = program.class.clone();
         let (before, since) = (pause.expected, pause.since);
-        let away = self.returns.expected(&class, Some(&tool), self.cfg.return_percent);
+        let away = self.returns.quantile(&class, Some(&tool), self.cfg.return_percent);
         self.expect_at(key, before, since + away);
         if let Some(pause) = self.programs.get_mut(key).and_then(|program| program.pause.as_mut()) {
             pause.tool = Some(tool);
--- a/agatetrestle/src/scheduler/core/mod.rs
+++ b/agatetrestle/src/scheduler/core/mod.rs
@@ -25,7 +25,7 @@
 use crate::clock::Timestamp;
 use crate::health::risk::Risk;
 use crate::placing::Placer;
-use crate::retention::returns::Returns;
+use crate::retention::pauses::PauseHistograms;
 use crate::scheduler::BackendState;
 use crate::scheduler::Scheduler;
 use crate::scheduler::classes::Classes;
@@ -111,7 +111,7 @@
     resting: BTreeSet<(Timestamp, BackendKey)>,
     ejected: BTreeSet<(Timestamp, BackendKey)>,
     risk: Risk,
-    returns: Returns,
+    returns: PauseHistograms,
     retries: RetryBudgets,
     rng: Random,
     sequence: u64,
@@ -139,7 +139,7 @@
             resting: BTreeSet::new(),
             ejected: BTreeSet::new(),
             risk: Risk::default(),
-            returns: Returns::default(),
+            returns: PauseHistograms::default(),
             rng: Random::new(seed),
             sequence: 0,
         }
--- a/agatetrestle/src/scheduler/core/outcome.rs
+++ b/agatetrestle/src/scheduler/core/outcome.rs
@@ -268,7 +268,7 @@
             return;
         };
         let class = program.class.clone();
-        let away = self.returns.expected(&class, None, self.cfg.return_percent);
+        let away = self.returns.quantile(&class, None, self.cfg.return_percent);
         let expected = now + away;
         if let Some(program) = self.programs.get_mut(key) {
             program.pause = Some(Pause { since: now, expected, tool: None });
--- a/agatetrestle/src/scheduler/core/submit.rs
+++ b/agatetrestle/src/scheduler/core/submit.rs
@@ -182,7 +182,7 @@
             return;
         };
         let class: Arc<str> = program.class.clone();
-        self.returns.learn(&class, pause.tool.as_ref(), now.since(pause.since));
+        self.returns.record(&class, pause.tool.as_ref(), now.since(pause.since));
         self.no_longer_idle(key, pause.expected);
     }
 
--- a/agatetrestle/src/trace/recorder.rs
+++ b/agatetrestle/src/trace/recorder.rs
@@ -19,8 +19,8 @@
 use crate::ports::Recorder;
 use crate::ports::Traces;
 use crate::programs::command::Repeatable;
-use crate::retention::account::CacheAccount;
-use crate::retention::account::ProgramCache;
+use crate::retention::cache_usage::CacheUsage;
+use crate::retention::cache_usage::ProgramCacheUsage;
 use crate::scheduler::BackendState;
 use crate::scheduler::Scheduler;
 use crate::scheduler::event::Action;
@@ -82,7 +82,7 @@
     inner: Box<dyn Scheduler>,
     log: Rc<TraceLog>,
     recorder: Rc<dyn Recorder>,
-    account: CacheAccount,
+    account: CacheUsage,
     open: HashMap<CallId, Open>,
     programs: HashMap<ProgramId, Story>,
 }
@@ -102,19 +102,19 @@
     answered: Option<Timestamp>,
     tool: Option<Arc<str>>,
     held: Option<TraceCall>,
-    cache: ProgramCache,
+    cache: ProgramCacheUsage,
 }
 
 impl Recording {
     /// Records what `inner` is told into `log`, and the account of caches by `recorder`.
     #[must_use]
     pub fn new(inner: Box<dyn Scheduler>, log: Rc<TraceLog>, recorder: Rc<dyn Recorder>) -> Self {
-        let account = CacheAccount::default();
+        let account = CacheUsage::default();
         Self { inner, log, recorder, account, open: HashMap::new(), programs: HashMap::new() }
     }
 
     fn tell_account(&self) {
-        self.recorder.cache(self.account.held, self.account.wasted);
+        self.recorder.cache(self.account.held_tokens, self.account.wasted_tokens);
     }
 
     fn note_event(&mut self, now: Timestamp, event: &Event) {
@@ -153,7 +153,7 @@
             return;
         };
         if let Some(story) = self.programs.get_mut(program) {
-            self.account.released(&mut story.cache);
+            self.account.record_release(&mut story.cache);
             self.tell_account();
         }
     }
@@ -174,7 +174,7 @@
         });
         if let Work::Model { prompt_tokens, .. } = open.call.work {
             let (prompt, cached) = (prompt_tokens.into(), cached_tokens.into());
-            self.account.answered(&mut story.cache, prompt, cached, output_tokens.into());
+            self.account.record_call(&mut story.cache, prompt, cached, output_tokens.into());
             self.tell_account();
         }
         let span = now.since(open.sent);
@@ -206,7 +206,7 @@
         let Some(story) = self.programs.remove(program) else {
             return;
         };
-        self.account.ended(story.cache);
+        self.account.record_end(story.cache);
         self.tell_account();
         if let Some(last) = story.held {
             self.write(&TraceCall { last: true, ended: told, ..last });
