--- a/agatetrestle/src/history/file.rs
+++ b/agatetrestle/src/history/file.rs
@@ -13,8 +13,8 @@
 use crate::history::History;
 use crate::history::HistoryError;
 use crate::history::IoSnafu;
-use crate::history::Record;
-use crate::history::ShortSnafu;
+use crate::history::PastEndSnafu;
+use crate::history::RecordLocation;
 use crate::history::checked;
 use crate::history::record;
 
@@ -72,7 +72,7 @@
 
     fn open_segment(&mut self, start: u64) -> Result<(), HistoryError> {
         let end = self.written_end();
-        ensure!(end == start, ShortSnafu { end, wanted: start });
+        ensure!(end == start, PastEndSnafu { end, wanted: start });
         let path = self.folder.join(format!("{start:020}.{EXTENSION}"));
         let mut options = OpenOptions::new();
         let opened = options.create(true).truncate(false).read(true).write(true).open(&path);
@@ -131,18 +131,18 @@
 }
 
 impl History for FileHistory {
-    fn append(&mut self, bytes: &[u8]) -> Record {
+    fn append(&mut self, bytes: &[u8]) -> RecordLocation {
         let record = record(self.end(), bytes);
-        self.extend(bytes);
+        self.append_raw(bytes);
         record
     }
 
-    fn read(&self, record: Record) -> Result<Arc<[u8]>, HistoryError> {
+    fn read(&self, record: RecordLocation) -> Result<Arc<[u8]>, HistoryError> {
         let mut bytes = Vec::with_capacity(record.length as usize);
         while bytes.len() < record.length as usize {
             let offset = record.offset + bytes.len() as u64;
-            let piece = self.copy(offset, record.length as usize - bytes.len())?;
-            ensure!(!piece.is_empty(), ShortSnafu { end: self.end(), wanted: offset });
+            let piece = self.read_raw(offset, record.length as usize - bytes.len())?;
+            ensure!(!piece.is_empty(), PastEndSnafu { end: self.end(), wanted: offset });
             bytes.extend_from_slice(&piece);
         }
         checked(record, &bytes)
@@ -152,7 +152,7 @@
         self.written_end() + self.buffer.len() as u64
     }
 
-    fn copy(&self, offset: u64, limit: usize) -> Result<Vec<u8>, HistoryError> {
+    fn read_raw(&self, offset: u64, limit: usize) -> Result<Vec<u8>, HistoryError> {
         let written = self.written_end();
         if offset >= written {
             let start = usize::try_from(offset - written).unwrap_or(usize::MAX).min(self.buffer.len());
@@ -169,13 +169,13 @@
         Ok(bytes)
     }
 
-    fn extend(&mut self, bytes: &[u8]) {
+    fn append_raw(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
         self.write_out_if_due();
     }
 
     fn truncate(&mut self, end: u64) -> Result<(), HistoryError> {
-        ensure!(end <= self.end(), ShortSnafu { end: self.end(), wanted: end });
+        ensure!(end <= self.end(), PastEndSnafu { end: self.end(), wanted: end });
         let written = self.written_end();
         if end >= written {
             self.buffer.truncate(usize::try_from(end - written).unwrap_or(usize::MAX));
--- a/agatetrestle/src/history/memory.rs
+++ b/agatetrestle/src/history/memory.rs
@@ -5,8 +5,8 @@
 
 use crate::history::History;
 use crate::history::HistoryError;
-use crate::history::Record;
-use crate::history::ShortSnafu;
+use crate::history::PastEndSnafu;
+use crate::history::RecordLocation;
 use crate::history::checked;
 use crate::history::record;
 
@@ -17,16 +17,16 @@
 }
 
 impl History for MemoryHistory {
-    fn append(&mut self, bytes: &[u8]) -> Record {
+    fn append(&mut self, bytes: &[u8]) -> RecordLocation {
         let record = record(self.end(), bytes);
         self.bytes.extend_from_slice(bytes);
         record
     }
 
-    fn read(&self, record: Record) -> Result<Arc<[u8]>, HistoryError> {
-        let bytes = self.copy(record.offset, record.length as usize)?;
+    fn read(&self, record: RecordLocation) -> Result<Arc<[u8]>, HistoryError> {
+        let bytes = self.read_raw(record.offset, record.length as usize)?;
         let wanted = record.offset + u64::from(record.length);
-        snafu::ensure!(bytes.len() == record.length as usize, ShortSnafu { end: self.end(), wanted });
+        snafu::ensure!(bytes.len() == record.length as usize, PastEndSnafu { end: self.end(), wanted });
         checked(record, &bytes)
     }
 
@@ -34,18 +34,18 @@
         self.bytes.len() as u64
     }
 
-    fn copy(&self, offset: u64, limit: usize) -> Result<Vec<u8>, HistoryError> {
+    fn read_raw(&self, offset: u64, limit: usize) -> Result<Vec<u8>, HistoryError> {
         let start = usize::try_from(offset).unwrap_or(usize::MAX).min(self.bytes.len());
         let end = start.saturating_add(limit).min(self.bytes.len());
         Ok(self.bytes[start..end].to_vec())
     }
 
-    fn extend(&mut self, bytes: &[u8]) {
+    fn append_raw(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
     fn truncate(&mut self, end: u64) -> Result<(), HistoryError> {
-        snafu::ensure!(end <= self.end(), ShortSnafu { end: self.end(), wanted: end });
+        snafu::ensure!(end <= self.end(), PastEndSnafu { end: self.end(), wanted: end });
         self.bytes.truncate(usize::try_from(end).unwrap_or(usize::MAX));
         Ok(())
     }
--- a/agatetrestle/src/history/mod.rs
+++ b/agatetrestle/src/history/mod.rs
@@ -20,7 +20,7 @@
 
 /// Where a record stands.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Record {
+pub struct RecordLocation {
     /// Bytes before it.
     pub offset: u64,
     /// Its length in bytes.
@@ -43,7 +43,7 @@
     },
     /// The history ends before the record does.
     #[snafu(display("the history ends at {end}, before byte {wanted}"))]
-    Short {
+    PastEnd {
         /// Where it ends.
         end: u64,
         /// The byte that was wanted.
@@ -60,14 +60,14 @@
 /// The store of one group.
 pub trait History {
     /// Appends a record. It lasts only once the files that [`History::flush`] returned are synced.
-    fn append(&mut self, bytes: &[u8]) -> Record;
+    fn append(&mut self, bytes: &[u8]) -> RecordLocation;
 
     /// Reads a record.
     ///
     /// # Errors
     ///
     /// Fails if the record is not there or was damaged.
-    fn read(&self, record: Record) -> Result<Arc<[u8]>, HistoryError>;
+    fn read(&self, record: RecordLocation) -> Result<Arc<[u8]>, HistoryError>;
 
     /// Bytes appended so far.
     fn end(&self) -> u64;
@@ -77,10 +77,10 @@
     /// # Errors
     ///
     /// Fails if they can't be read.
-    fn copy(&self, offset: u64, limit: usize) -> Result<Vec<u8>, HistoryError>;
+    fn read_raw(&self, offset: u64, limit: usize) -> Result<Vec<u8>, HistoryError>;
 
     /// Takes in raw bytes that follow the end.
-    fn extend(&mut self, bytes: &[u8]);
+    fn append_raw(&mut self, bytes: &[u8]);
 
     /// Drops everything from an offset on, which the log will append again.
     ///
@@ -97,12 +97,12 @@
     fn flush(&mut self) -> Result<Vec<File>, HistoryError>;
 }
 
-fn record(offset: u64, bytes: &[u8]) -> Record {
+fn record(offset: u64, bytes: &[u8]) -> RecordLocation {
     let length = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
-    Record { offset, length, checksum: crc32fast::hash(bytes) }
+    RecordLocation { offset, length, checksum: crc32fast::hash(bytes) }
 }
 
-fn checked(record: Record, bytes: &[u8]) -> Result<Arc<[u8]>, HistoryError> {
+fn checked(record: RecordLocation, bytes: &[u8]) -> Result<Arc<[u8]>, HistoryError> {
     snafu::ensure!(crc32fast::hash(bytes) == record.checksum, CorruptSnafu { offset: record.offset });
     Ok(Arc::from(bytes))
 }
--- a/agatetrestle/src/history/tests.rs
+++ b/agatetrestle/src/history/tests.rs
@@ -65,7 +65,7 @@
     for (record, index) in kept.iter().zip(0..) {
         assert_eq!(*again.read(*record).unwrap(), body(index));
     }
-    assert!(matches!(again.truncate(again.end() + 1), Err(HistoryError::Short { .. })));
+    assert!(matches!(again.truncate(again.end() + 1), Err(HistoryError::PastEnd { .. })));
 }
 
 #[test]
@@ -75,8 +75,8 @@
     let records: Vec<_> = (0..300).map(|index| source.append(&body(index))).collect();
     let mut copy = MemoryHistory::default();
     while copy.end() < source.end() {
-        let piece = source.copy(copy.end(), 10_000).unwrap();
-        copy.extend(&piece);
+        let piece = source.read_raw(copy.end(), 10_000).unwrap();
+        copy.append_raw(&piece);
     }
     for (record, index) in records.iter().zip(0..) {
         assert_eq!(*copy.read(*record).unwrap(), body(index));
--- a/agatetrestle/src/node/group/install.rs
+++ b/agatetrestle/src/node/group/install.rs
@@ -95,13 +95,13 @@
             return;
         };
         let lacking = usize::try_from(wanted - history.end()).unwrap_or(usize::MAX);
-        history.extend(&bytes[..bytes.len().min(lacking)]);
+        history.append_raw(&bytes[..bytes.len().min(lacking)]);
     }
 
     /// Raw history for another replica.
     pub fn copy_history(&self, offset: u64) -> Vec<u8> {
         let mut machine = self.machine.borrow_mut();
-        let copied = machine.history().map(|history| history.copy(offset, HISTORY_PIECE));
+        let copied = machine.history().map(|history| history.read_raw(offset, HISTORY_PIECE));
         match copied {
             Some(Ok(bytes)) => bytes,
             Some(Err(failure)) => {
--- a/agatetrestle/src/programs/program.rs
+++ b/agatetrestle/src/programs/program.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::history::Record;
+use crate::history::RecordLocation;
 use crate::ids::AttemptId;
 use crate::ids::CallNumber;
 use crate::ids::NodeId;
@@ -28,7 +28,7 @@
     state: CallState,
     reserve: u64,
     charged: u64,
-    request: Record,
+    request: RecordLocation,
     answer: Option<StoredAnswer>,
     note: Option<Arc<str>>,
 }
@@ -38,7 +38,7 @@
 pub(super) struct StoredAnswer {
     pub(super) status: u16,
     pub(super) content_type: Arc<str>,
-    pub(super) body: Record,
+    pub(super) body: RecordLocation,
 }
 
 /// What a `Begin` asks for.
@@ -116,7 +116,11 @@
     }
 
     /// Begins a call; `store` puts the request into the history and is called only for a new one.
-    pub(super) fn begin(&mut self, new: NewCall, store: impl FnOnce() -> Record) -> Result<Begun, Refusal> {
+    pub(super) fn begin(
+        &mut self,
+        new: NewCall,
+        store: impl FnOnce() -> RecordLocation,
+    ) -> Result<Begun, Refusal> {
         if let Some(index) = self.calls.iter().rposition(|call| call.key == new.key) {
             return self.begin_again(index, &new);
         }
--- a/agatetrestle/src/programs/tests.rs
+++ b/agatetrestle/src/programs/tests.rs
@@ -259,8 +259,8 @@
     let mut restored = Ledger::default();
     assert!(restored.restore(&snapshot).is_err(), "the history is missing");
     let end = restored.history_end(&snapshot).unwrap();
-    let bytes = ledger.history().unwrap().copy(0, usize::try_from(end).unwrap()).unwrap();
-    restored.history().unwrap().extend(&bytes);
+    let bytes = ledger.history().unwrap().read_raw(0, usize::try_from(end).unwrap()).unwrap();
+    restored.history().unwrap().append_raw(&bytes);
     restored.restore(&snapshot).unwrap();
     assert_eq!(restored.snapshot(), snapshot);
     let stored = restored.query(&ProgramQuery::Request(id("vrsta/a"), key("key-1")));
