--- a/agatetrestle/src/attempts/upkeep.rs
+++ b/agatetrestle/src/attempts/admin.rs
@@ -20,11 +20,11 @@
 use smol::channel::Sender;
 
 use crate::attempts::Dispatcher;
-use crate::attempts::EngineOrder;
-use crate::attempts::Engines;
+use crate::attempts::EngineClient;
+use crate::attempts::EngineCommand;
 use crate::attempts::Timer;
-use crate::attempts::catalog::Target;
-use crate::attempts::timer::within;
+use crate::attempts::catalog::BackendEndpoint;
+use crate::attempts::timer::with_timeout;
 use crate::clock::Clock;
 use crate::clock::Timestamp;
 use crate::ids::ProgramId;
@@ -48,14 +48,14 @@
 const WAITING: usize = 4096;
 
 /// Keeps track of reports and waiting orders.
-pub(super) struct Upkeep {
-    engines: Rc<dyn Engines>,
+pub(super) struct BackendAdmin {
+    engines: Rc<dyn EngineClient>,
     timer: Rc<dyn Timer>,
     clock: Clock,
-    targets: RefCell<Vec<(Arc<str>, Target)>>,
+    targets: RefCell<Vec<(Arc<str>, BackendEndpoint)>>,
     seen: RefCell<HashMap<Arc<str>, Seen>>,
-    orders: Sender<(ProgramId, EngineOrder, SocketAddr)>,
-    waiting: Receiver<(ProgramId, EngineOrder, SocketAddr)>,
+    orders: Sender<(ProgramId, EngineCommand, SocketAddr)>,
+    waiting: Receiver<(ProgramId, EngineCommand, SocketAddr)>,
     dropped: Cell<u64>,
 }
 
@@ -66,8 +66,8 @@
     left_alone_until: Timestamp,
 }
 
-impl Upkeep {
-    pub(super) fn new(engines: Rc<dyn Engines>, timer: Rc<dyn Timer>, clock: Clock) -> Self {
+impl BackendAdmin {
+    pub(super) fn new(engines: Rc<dyn EngineClient>, timer: Rc<dyn Timer>, clock: Clock) -> Self {
         let (orders, waiting) = channel::bounded(WAITING);
         Self {
             engines,
@@ -82,16 +82,16 @@
     }
 
     /// The backend servers that report: every engine, and services that are declared to.
-    pub(super) fn declare(&self, targets: &HashMap<Arc<str>, Target>) {
-        let reporting = targets.iter().filter(|(_, target)| target.reports);
+    pub(super) fn declare(&self, targets: &HashMap<Arc<str>, BackendEndpoint>) {
+        let reporting = targets.iter().filter(|(_, target)| target.reports_load);
         let mut reporting: Vec<_> = reporting.map(|(name, target)| (name.clone(), *target)).collect();
         reporting.sort_by(|(a, _), (b, _)| a.cmp(b));
         self.seen.borrow_mut().retain(|name, _| targets.contains_key(name));
         *self.targets.borrow_mut() = reporting;
     }
 
-    /// Takes in an order for [`Upkeep::carry_out`].
-    pub(super) fn order(&self, program: ProgramId, order: EngineOrder, address: SocketAddr) {
+    /// Takes in an order for [`BackendAdmin::carry_out`].
+    pub(super) fn order(&self, program: ProgramId, order: EngineCommand, address: SocketAddr) {
         if self.orders.try_send((program, order, address)).is_err() {
             self.dropped.set(self.dropped.get() + 1);
             log::warn!("{} orders about caches were dropped so far.", self.dropped.get());
@@ -103,7 +103,7 @@
         let orders = Box::pin(self.waiting.clone());
         let sent = orders.for_each_concurrent(AT_ONCE, async |(program, order, address)| {
             let sending = self.engines.order(address, &program, order);
-            match within(&*self.timer, PATIENCE, sending).await {
+            match with_timeout(&*self.timer, PATIENCE, sending).await {
                 Some(Ok(())) => {}
                 Some(Err(e)) => log::debug!("An order about a cache failed: {e}."),
                 None => log::debug!("An order about a cache got no answer in time."),
@@ -124,14 +124,14 @@
         }
     }
 
-    async fn ask_one(&self, dispatcher: &Dispatcher, name: &Arc<str>, target: Target) {
+    async fn ask_one(&self, dispatcher: &Dispatcher, name: &Arc<str>, target: BackendEndpoint) {
         let mut seen = self.seen.borrow().get(name).copied().unwrap_or_default();
         let now = self.clock.now();
         if now < seen.left_alone_until {
             return;
         }
         let asking = self.engines.report(target.address, seen.position);
-        match within(&*self.timer, PATIENCE, asking).await {
+        match with_timeout(&*self.timer, PATIENCE, asking).await {
             Some(Ok(Some(report))) => {
                 seen.position = report.position;
                 dispatcher.step(Event::Load { backend: name.clone(), load: report.load });
@@ -150,10 +150,10 @@
 }
 
 /// The order with the program and the engine that it is about.
-pub(super) fn split(order: CacheOrder) -> (ProgramId, BackendKey, EngineOrder) {
+pub(super) fn split(order: CacheOrder) -> (ProgramId, BackendKey, EngineCommand) {
     match order {
-        CacheOrder::Release { program, backend } => (program, backend, EngineOrder::Release),
-        CacheOrder::Export { program, backend } => (program, backend, EngineOrder::Export),
-        CacheOrder::Import { program, backend } => (program, backend, EngineOrder::Import),
+        CacheOrder::Release { program, backend } => (program, backend, EngineCommand::Release),
+        CacheOrder::Export { program, backend } => (program, backend, EngineCommand::Export),
+        CacheOrder::Import { program, backend } => (program, backend, EngineCommand::Import),
     }
 }
--- a/agatetrestle/src/attempts/job.rs
+++ b/agatetrestle/src/attempts/call.rs
@@ -5,9 +5,9 @@
 
 use futures::future::LocalBoxFuture;
 
-use crate::attempts::Outgoing;
-use crate::attempts::Reply;
-use crate::attempts::machine::Ending;
+use crate::attempts::BackendReply;
+use crate::attempts::BackendRequest;
+use crate::attempts::delivery::ExecutionStatus;
 use crate::clock::Timestamp;
 use crate::ids::ProgramId;
 use crate::scheduler::event::Call;
@@ -17,7 +17,7 @@
 
 /// A call that wants to be sent.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct OutgoingCall {
     /// The outermost program of which the caller's program is a sub-agent, or the program itself.
     pub root: ProgramId,
     /// Team within the partner.
@@ -29,16 +29,16 @@
     /// When the caller no longer wants the answer.
     pub deadline: Option<Timestamp>,
     /// The most tokens that one attempt can cost.
-    pub cost: u64,
+    pub max_attempt_tokens: u64,
     /// The request as it goes out.
-    pub outgoing: Outgoing,
+    pub request: BackendRequest,
 }
 
 /// What became of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// A whole answer came, perhaps one that reports an error.
-    Answered(Reply),
+    Answered(BackendReply),
     /// The scheduler turned the call away; nothing was sent.
     Refused {
         /// Why.
@@ -47,27 +47,27 @@
         retry_after: Duration,
     },
     /// No usable answer came.
-    GivenUp {
+    Failed {
         /// What is true of the call.
-        ending: Ending,
+        execution: ExecutionStatus,
         /// What made the last attempt fail.
         detail: Arc<str>,
         /// When the caller may come back.
         retry_after: Duration,
     },
     /// The caller itself held the call back before anything was sent.
-    HeldBack,
+    NotAdmitted,
     /// The caller went away and the call was stopped.
-    Cancelled(Ending),
+    Cancelled(ExecutionStatus),
 }
 
 /// Times of one call, for measures.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Times {
+pub struct CallStats {
     /// Time in the scheduler's queue, over all attempts.
-    pub queued: Duration,
+    pub queue_time: Duration,
     /// Time on connections to backend servers, over all attempts.
-    pub served: Duration,
+    pub service_time: Duration,
     /// Attempts made.
     pub attempts: u32,
     /// Tokens that lost attempts are known to have cost: their prompts and the parts that came.
@@ -81,27 +81,27 @@
     fn admit(&self) -> LocalBoxFuture<'_, bool>;
 
     /// Tokens that all attempts together may cost; asked once the call is admitted.
-    fn allowance(&self) -> u64;
+    fn token_budget(&self) -> u64;
 
     /// A further part of the first answer came; its last event is held back.
-    fn piece(&self, bytes: &[u8]);
+    fn on_event(&self, bytes: &[u8]);
 
     /// The answer broke off after some of it was told. Another attempt may follow, whose parts are
     /// not told, since two answers must not be mixed.
-    fn broke_off(&self);
+    fn on_interrupted(&self);
 }
 
-impl Job {
+impl OutgoingCall {
     /// The call as the scheduler sees it.
     pub(super) fn call(&self, id: CallId) -> Call {
         Call {
             id,
-            program: self.outgoing.program.clone(),
+            program: self.request.program.clone(),
             root: self.root.clone(),
             team: self.team.clone(),
             class: self.class.clone(),
             work: self.work.clone(),
-            repeatable: self.outgoing.repeatable,
+            repeatable: self.request.repeatable,
             deadline: self.deadline,
         }
     }
--- a/agatetrestle/src/attempts/catalog.rs
+++ b/agatetrestle/src/attempts/catalog.rs
@@ -17,17 +17,17 @@
 
 /// Where a declared backend server listens and what it is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Target {
+pub struct BackendEndpoint {
     /// IP number and port.
     pub address: SocketAddr,
     /// Engine or service replica.
     pub kind: BackendKind,
     /// Whether it reports its load.
-    pub reports: bool,
+    pub reports_load: bool,
 }
 
 /// Where each declared backend server listens.
-pub type Addresses = HashMap<Arc<str>, Target>;
+pub type Endpoints = HashMap<Arc<str>, BackendEndpoint>;
 
 /// Parses the documents in force, the shared one first. A document that this build can't read is left out
 /// and logged: the others must not suffer for it.
@@ -47,7 +47,7 @@
 /// Name under which a partner's calls find their backend servers: its own where its document has any
 /// that serve `name`, else the shared ones.
 #[must_use]
-pub fn pool(partner: &str, own: Option<&Declarations>, kind: BackendKind, name: &str) -> Arc<str> {
+pub fn pool_name(partner: &str, own: Option<&Declarations>, kind: BackendKind, name: &str) -> Arc<str> {
     let serves = |server: &BackendServer| server.kind == kind && *server.serves == *name;
     let has_own = own.is_some_and(|own| own.backend_servers.values().any(serves));
     if has_own { qualified(partner, name) } else { name.into() }
@@ -63,34 +63,34 @@
 /// What a partner's document declares never reaches beyond the partner: its backend servers only get its
 /// own calls, and where it gives one a name that is taken already, that one is known as `partner/name`.
 #[must_use]
-pub fn build(documents: &[(Arc<str>, Declarations)]) -> (Catalog, Addresses) {
+pub fn build(documents: &[(Arc<str>, Declarations)]) -> (Catalog, Endpoints) {
     let mut catalog = Catalog::default();
-    let mut addresses = Addresses::new();
+    let mut endpoints = Endpoints::new();
     for (scope, declarations) in documents {
-        add_backends(scope, declarations, &mut catalog, &mut addresses);
+        add_backends(scope, declarations, &mut catalog, &mut endpoints);
         if &**scope == SHARED_SCOPE {
             catalog.shares.clone_from(&declarations.shares);
             continue;
         }
         add_partner(scope, declarations, &mut catalog);
     }
-    (catalog, addresses)
+    (catalog, endpoints)
 }
 
 fn add_backends(
     scope: &Arc<str>,
     declarations: &Declarations,
     catalog: &mut Catalog,
-    addresses: &mut Addresses,
+    endpoints: &mut Endpoints,
 ) {
     let is_shared = &**scope == SHARED_SCOPE;
     for (name, server) in &declarations.backend_servers {
-        let taken = addresses.contains_key(name);
+        let taken = endpoints.contains_key(name);
         let name = if taken { qualified(scope, name) } else { name.clone() };
         let serves = if is_shared { server.serves.clone() } else { qualified(scope, &server.serves) };
-        let reports = server.kind == BackendKind::Engine || server.reports_load;
-        let target = Target { address: server.address, kind: server.kind, reports };
-        addresses.insert(name.clone(), target);
+        let reports_load = server.kind == BackendKind::Engine || server.reports_load;
+        let target = BackendEndpoint { address: server.address, kind: server.kind, reports_load };
+        endpoints.insert(name.clone(), target);
         catalog.backends.push(Backend {
             name,
             kind: server.kind,
--- a/agatetrestle/src/attempts/machine.rs
+++ b/agatetrestle/src/attempts/delivery.rs
@@ -25,24 +25,24 @@
 
 /// What is true of a call that got no usable answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ending {
+pub enum ExecutionStatus {
     /// Nothing of it was ever started.
     NotRun,
     /// Nobody can tell whether it ran, and it may not be sent again.
     Unknown,
     /// It may have run in part, but may be sent again.
-    Open,
+    Retryable,
 }
 
 /// The state of one call on this node, over all its attempts.
 #[derive(Debug)]
-pub struct Machine {
+pub struct Delivery {
     repeatable: Repeatable,
     phase: Phase,
     doubtful: bool,
 }
 
-impl Machine {
+impl Delivery {
     /// A call that waits.
     #[must_use]
     pub fn new(repeatable: Repeatable) -> Self {
@@ -66,12 +66,12 @@
     }
 
     /// The first byte is about to be written.
-    pub fn writing(&mut self) {
+    pub fn begin_write(&mut self) {
         self.phase = Phase::Sent;
     }
 
     /// Part of an answer came.
-    pub fn answering(&mut self) {
+    pub fn receive(&mut self) {
         if self.phase == Phase::Sent {
             self.phase = Phase::Answering;
         }
@@ -79,7 +79,7 @@
 
     /// The attempt failed; returns the failure that is true, since an exchange can't claim that a
     /// request it wrote never left. Only the backend server's own word takes the doubt away.
-    pub fn failed(&mut self, failure: Failure) -> Failure {
+    pub fn fail(&mut self, failure: Failure) -> Failure {
         let truth = match failure {
             Failure::Connect if self.written() => Failure::Lost,
             Failure::Refused if self.phase == Phase::Answering => Failure::Lost,
@@ -91,18 +91,18 @@
     }
 
     /// A whole answer came.
-    pub fn finished(&mut self) {
+    pub fn finish(&mut self) {
         self.phase = Phase::Done;
     }
 
     /// No further attempt will be made; returns what is true.
-    pub fn end(&mut self) -> Ending {
+    pub fn end(&mut self) -> ExecutionStatus {
         let in_doubt = self.in_doubt();
         self.phase = Phase::Done;
         match (in_doubt, self.repeatable) {
-            (false, _) => Ending::NotRun,
-            (true, Repeatable::No) => Ending::Unknown,
-            (true, Repeatable::Yes) => Ending::Open,
+            (false, _) => ExecutionStatus::NotRun,
+            (true, Repeatable::No) => ExecutionStatus::Unknown,
+            (true, Repeatable::Yes) => ExecutionStatus::Retryable,
         }
     }
 
--- a/agatetrestle/src/attempts/machine/tests.rs
+++ b/agatetrestle/src/attempts/delivery/tests.rs
@@ -37,22 +37,22 @@
     #[test]
     fn the_outcome_is_true(steps in steps(), repeatable in any::<bool>()) {
         let repeatable = if repeatable { Repeatable::Yes } else { Repeatable::No };
-        let mut machine = Machine::new(repeatable);
+        let mut machine = Delivery::new(repeatable);
         let mut seen = Seen::default();
         for step in steps {
             match step {
                 Step::Dispatch => drop(machine.dispatch()),
                 Step::Write if machine.phase() == Phase::Connecting => {
-                    machine.writing();
+                    machine.begin_write();
                     seen.standing += 1;
                     seen.current = true;
                 }
                 Step::Answer if seen.current => {
-                    machine.answering();
+                    machine.receive();
                     seen.answering = true;
                 }
                 Step::Fail(failure) if machine.phase() != Phase::Waiting => {
-                    let truth = machine.failed(failure);
+                    let truth = machine.fail(failure);
                     prop_assert!(!(seen.current && truth == Failure::Connect));
                     let disowned = failure == Failure::Refused && !seen.answering;
                     if seen.current && disowned {
@@ -66,7 +66,7 @@
             prop_assert!(repeatable == Repeatable::Yes || seen.standing <= 1);
         }
         let ending = machine.end();
-        prop_assert_eq!(ending == Ending::NotRun, seen.standing == 0);
-        prop_assert_eq!(ending == Ending::Unknown, seen.standing > 0 && repeatable == Repeatable::No);
+        prop_assert_eq!(ending == ExecutionStatus::NotRun, seen.standing == 0);
+        prop_assert_eq!(ending == ExecutionStatus::Unknown, seen.standing > 0 && repeatable == Repeatable::No);
     }
 }
--- a/agatetrestle/src/attempts/dispatcher.rs
+++ b/agatetrestle/src/attempts/dispatcher.rs
@@ -14,22 +14,22 @@
 use smol::channel::Sender;
 use smol::future::zip;
 
-use crate::attempts::Broken;
-use crate::attempts::Engines;
-use crate::attempts::Outgoing;
-use crate::attempts::Progress;
-use crate::attempts::Reply;
-use crate::attempts::Services;
+use crate::attempts::BackendReply;
+use crate::attempts::BackendRequest;
+use crate::attempts::EngineClient;
+use crate::attempts::ExchangeError;
+use crate::attempts::ExchangeObserver;
+use crate::attempts::ServiceClient;
 use crate::attempts::Timer;
+use crate::attempts::admin;
+use crate::attempts::admin::BackendAdmin;
+use crate::attempts::call::CallOutcome;
+use crate::attempts::call::CallStats;
+use crate::attempts::call::Caller;
+use crate::attempts::call::OutgoingCall;
 use crate::attempts::catalog;
-use crate::attempts::catalog::Addresses;
-use crate::attempts::job::Caller;
-use crate::attempts::job::Job;
-use crate::attempts::job::Outcome;
-use crate::attempts::job::Times;
+use crate::attempts::catalog::Endpoints;
 use crate::attempts::run::Run;
-use crate::attempts::upkeep;
-use crate::attempts::upkeep::Upkeep;
 use crate::clock::Clock;
 use crate::control::command::Configuration;
 use crate::scheduler::Scheduler;
@@ -42,7 +42,7 @@
 use crate::scheduler::event::RefusalReason;
 
 /// An action of the scheduler as the call's own task gets it.
-pub(super) enum Order {
+pub(super) enum Decision {
     Dispatch { backend: BackendKey, priority: u8 },
     Refuse { reason: RefusalReason, retry_after: Duration },
     GiveUp { retry_after: Duration },
@@ -51,13 +51,13 @@
 /// Owns the handle of the scheduler and the calls that wait for its decisions.
 pub struct Dispatcher {
     scheduler: Rc<RefCell<Box<dyn Scheduler>>>,
-    engines: Rc<dyn Engines>,
-    services: Rc<dyn Services>,
+    engines: Rc<dyn EngineClient>,
+    services: Rc<dyn ServiceClient>,
     timer: Rc<dyn Timer>,
     pub(super) clock: Clock,
-    waiting: RefCell<HashMap<CallId, Sender<Order>>>,
-    addresses: RefCell<Addresses>,
-    upkeep: Upkeep,
+    waiting: RefCell<HashMap<CallId, Sender<Decision>>>,
+    endpoints: RefCell<Endpoints>,
+    admin: BackendAdmin,
     revision: Cell<u64>,
     leaving: RefCell<BTreeSet<Arc<str>>>,
     last_id: Cell<u64>,
@@ -68,21 +68,21 @@
     #[must_use]
     pub fn new(
         scheduler: Rc<RefCell<Box<dyn Scheduler>>>,
-        engines: Rc<dyn Engines>,
-        services: Rc<dyn Services>,
+        engines: Rc<dyn EngineClient>,
+        services: Rc<dyn ServiceClient>,
         timer: Rc<dyn Timer>,
         clock: Clock,
     ) -> Self {
-        let upkeep = Upkeep::new(Rc::clone(&engines), Rc::clone(&timer), clock);
+        let admin = BackendAdmin::new(Rc::clone(&engines), Rc::clone(&timer), clock);
         Self {
             scheduler,
-            upkeep,
+            admin,
             engines,
             services,
             timer,
             clock,
             waiting: RefCell::default(),
-            addresses: RefCell::default(),
+            endpoints: RefCell::default(),
             revision: Cell::new(0),
             leaving: RefCell::default(),
             last_id: Cell::new(0),
@@ -90,14 +90,14 @@
     }
 
     /// Puts a new catalog in force for calls that are dispatched from now on.
-    pub fn catalog(&self, catalog: Arc<Catalog>) {
+    pub fn set_catalog(&self, catalog: Arc<Catalog>) {
         self.step(Event::Catalog(catalog));
     }
 
     /// Puts new addresses of backend servers in force; a call already sent stays where it is.
-    pub fn addresses(&self, addresses: Addresses) {
-        self.upkeep.declare(&addresses);
-        *self.addresses.borrow_mut() = addresses;
+    pub fn set_endpoints(&self, endpoints: Endpoints) {
+        self.admin.declare(&endpoints);
+        *self.endpoints.borrow_mut() = endpoints;
     }
 
     /// Puts a configuration in force: its catalog, its addresses and its leaving marks. Cheap where
@@ -107,9 +107,9 @@
             return;
         }
         self.revision.set(configuration.revision);
-        let (catalog, addresses) = catalog::build(&catalog::parse(configuration));
-        self.addresses(addresses);
-        self.catalog(Arc::new(catalog));
+        let (catalog, endpoints) = catalog::build(&catalog::parse(configuration));
+        self.set_endpoints(endpoints);
+        self.set_catalog(Arc::new(catalog));
         self.mark_leaving(configuration);
     }
 
@@ -132,17 +132,17 @@
             self.carry_out(action);
         }
         for order in decisions.orders {
-            let (program, backend, order) = upkeep::split(order);
+            let (program, backend, order) = admin::split(order);
             if let Some((_, address)) = self.target(backend) {
-                self.upkeep.order(program, order, address);
+                self.admin.order(program, order, address);
             }
         }
     }
 
     /// Lets the scheduler see time pass, asks backend servers for reports and carries out orders about
     /// caches, for as long as the node runs.
-    pub async fn run_ticks(&self) {
-        let beside = zip(self.upkeep.carry_out(), self.upkeep.ask(self));
+    pub async fn run_background(&self) {
+        let beside = zip(self.admin.carry_out(), self.admin.ask(self));
         zip(self.tick(), beside).await;
     }
 
@@ -165,15 +165,15 @@
     /// then told to ask again for the answer of the next attempt.
     pub async fn run(
         &self,
-        job: &Job,
+        job: &OutgoingCall,
         caller: &dyn Caller,
         gone: &Receiver<()>,
-        times: &Cell<Times>,
-    ) -> Outcome {
+        times: &Cell<CallStats>,
+    ) -> CallOutcome {
         Run::new(self, job, caller, gone, times).to_the_end().await
     }
 
-    pub(super) fn enter(&self) -> (CallId, Receiver<Order>) {
+    pub(super) fn enter(&self) -> (CallId, Receiver<Decision>) {
         let (orders, waiting) = channel::unbounded();
         let id = CallId(self.last_id.get() + 1);
         self.last_id.set(id.0);
@@ -187,9 +187,9 @@
 
     fn carry_out(&self, action: Action) {
         let (call, order) = match action {
-            Action::Dispatch { call, backend, priority } => (call, Order::Dispatch { backend, priority }),
-            Action::Refuse { call, reason, retry_after } => (call, Order::Refuse { reason, retry_after }),
-            Action::GiveUp { call, retry_after } => (call, Order::GiveUp { retry_after }),
+            Action::Dispatch { call, backend, priority } => (call, Decision::Dispatch { backend, priority }),
+            Action::Refuse { call, reason, retry_after } => (call, Decision::Refuse { reason, retry_after }),
+            Action::GiveUp { call, retry_after } => (call, Decision::GiveUp { retry_after }),
         };
         if let Some(orders) = self.waiting.borrow().get(&call) {
             orders.try_send(order).ok();
@@ -199,11 +199,11 @@
     /// Sends a request to a backend server, wherever it listens by now.
     pub(super) async fn exchange(
         &self,
-        outgoing: &Outgoing,
+        outgoing: &BackendRequest,
         backend: BackendKey,
         priority: u8,
-        progress: &dyn Progress,
-    ) -> Result<Reply, Broken> {
+        progress: &dyn ExchangeObserver,
+    ) -> Result<BackendReply, ExchangeError> {
         match self.target(backend) {
             Some((BackendKind::Engine, address)) => {
                 self.engines.chat(address, priority, outgoing, progress).await
@@ -211,7 +211,7 @@
             Some((BackendKind::Service, address)) => self.services.call(address, outgoing, progress).await,
             None => {
                 let detail = "the backend server is no longer declared".into();
-                Err(Broken { failure: Failure::Connect, detail, reply: None })
+                Err(ExchangeError { failure: Failure::Connect, detail, reply: None })
             }
         }
     }
@@ -219,7 +219,7 @@
     fn target(&self, backend: BackendKey) -> Option<(BackendKind, std::net::SocketAddr)> {
         let scheduler = self.scheduler.borrow();
         let backend = scheduler.backend(backend)?;
-        let target = self.addresses.borrow().get(&backend.name).copied()?;
+        let target = self.endpoints.borrow().get(&backend.name).copied()?;
         Some((backend.kind, target.address))
     }
 }
--- a/agatetrestle/src/attempts/http.rs
+++ b/agatetrestle/src/attempts/http.rs
@@ -24,25 +24,25 @@
 use smol::io::Cursor;
 use smol::net::TcpStream;
 
-use crate::attempts::Broken;
+use crate::attempts::BackendReply;
+use crate::attempts::BackendReport;
+use crate::attempts::BackendRequest;
 use crate::attempts::CALL_HEADER;
-use crate::attempts::EngineOrder;
-use crate::attempts::Engines;
-use crate::attempts::KEY_HEADER;
+use crate::attempts::EngineClient;
+use crate::attempts::EngineCommand;
+use crate::attempts::ExchangeError;
+use crate::attempts::ExchangeObserver;
+use crate::attempts::IDEMPOTENCY_KEY_HEADER;
 use crate::attempts::OUTCOME_HEADER;
-use crate::attempts::Outgoing;
 use crate::attempts::PRIORITY_HEADER;
 use crate::attempts::PROGRAM_HEADER;
-use crate::attempts::Progress;
-use crate::attempts::Reply;
-use crate::attempts::Report;
-use crate::attempts::Services;
+use crate::attempts::ServiceClient;
 use crate::attempts::Timer;
-use crate::attempts::Usage;
-use crate::attempts::sse::Splitter;
+use crate::attempts::TokenUsage;
+use crate::attempts::sse::SseParser;
 use crate::attempts::sse::tool_of;
 use crate::attempts::sse::usage_of;
-use crate::attempts::timer::within;
+use crate::attempts::timer::with_timeout;
 use crate::ids::ProgramId;
 use crate::programs::command::Answer;
 use crate::scheduler::event::Failure;
@@ -64,9 +64,9 @@
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Backend servers reached over HTTP.
-pub struct HttpBackends {
+pub struct HttpBackendClient {
     timer: Rc<dyn Timer>,
-    connect_within: Duration,
+    connect_timeout: Duration,
 }
 
 /// How the end of an answer is known.
@@ -79,15 +79,15 @@
 
 struct Exchange<'a> {
     timer: &'a dyn Timer,
-    request: &'a Outgoing,
-    progress: &'a dyn Progress,
+    request: &'a BackendRequest,
+    progress: &'a dyn ExchangeObserver,
 }
 
-impl HttpBackends {
-    /// Backend servers to which a connection must be made within `connect_within`.
+impl HttpBackendClient {
+    /// Backend servers to which a connection must be made within `connect_timeout`.
     #[must_use]
-    pub fn new(timer: Rc<dyn Timer>, connect_within: Duration) -> Self {
-        Self { timer, connect_within }
+    pub fn new(timer: Rc<dyn Timer>, connect_timeout: Duration) -> Self {
+        Self { timer, connect_timeout }
     }
 
     async fn exchange(
@@ -95,35 +95,35 @@
         address: SocketAddr,
         kind: BackendKind,
         priority: u8,
-        request: &Outgoing,
-        progress: &dyn Progress,
-    ) -> Result<Reply, Broken> {
+        request: &BackendRequest,
+        progress: &dyn ExchangeObserver,
+    ) -> Result<BackendReply, ExchangeError> {
         let stream = self.connect(address).await?;
         let exchange = Exchange { timer: &*self.timer, request, progress };
         exchange.run(stream, address, kind, priority).await
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<TcpStream, Broken> {
+    async fn connect(&self, address: SocketAddr) -> Result<TcpStream, ExchangeError> {
         let connecting = TcpStream::connect(address);
-        match within(&*self.timer, self.connect_within, connecting).await {
+        match with_timeout(&*self.timer, self.connect_timeout, connecting).await {
             Some(Ok(stream)) => {
                 stream.set_nodelay(true).ok();
                 Ok(stream)
             }
-            Some(Err(e)) => Err(broken(Failure::Connect, format!("{address}: {e}"))),
-            None => Err(broken(Failure::Connect, format!("{address}: no connection in time"))),
+            Some(Err(e)) => Err(exchange_error(Failure::Connect, format!("{address}: {e}"))),
+            None => Err(exchange_error(Failure::Connect, format!("{address}: no connection in time"))),
         }
     }
 }
 
-impl Engines for HttpBackends {
+impl EngineClient for HttpBackendClient {
     fn chat<'a>(
         &'a self,
         address: SocketAddr,
         priority: u8,
-        request: &'a Outgoing,
-        progress: &'a dyn Progress,
-    ) -> LocalBoxFuture<'a, Result<Reply, Broken>> {
+        request: &'a BackendRequest,
+        progress: &'a dyn ExchangeObserver,
+    ) -> LocalBoxFuture<'a, Result<BackendReply, ExchangeError>> {
         Box::pin(self.exchange(address, BackendKind::Engine, priority, request, progress))
     }
 
@@ -131,15 +131,19 @@
         &'a self,
         address: SocketAddr,
         program: &'a ProgramId,
-        order: EngineOrder,
-    ) -> LocalBoxFuture<'a, Result<(), Broken>> {
+        order: EngineCommand,
+    ) -> LocalBoxFuture<'a, Result<(), ExchangeError>> {
         Box::pin(async move {
             let stream = self.connect(address).await?;
             admin::order(stream, address, program, order).await
         })
     }
 
-    fn report(&self, address: SocketAddr, after: u64) -> LocalBoxFuture<'_, Result<Option<Report>, Broken>> {
+    fn report(
+        &self,
+        address: SocketAddr,
+        after: u64,
+    ) -> LocalBoxFuture<'_, Result<Option<BackendReport>, ExchangeError>> {
         Box::pin(async move {
             let stream = self.connect(address).await?;
             admin::report(stream, address, after).await
@@ -147,13 +151,13 @@
     }
 }
 
-impl Services for HttpBackends {
+impl ServiceClient for HttpBackendClient {
     fn call<'a>(
         &'a self,
         address: SocketAddr,
-        request: &'a Outgoing,
-        progress: &'a dyn Progress,
-    ) -> LocalBoxFuture<'a, Result<Reply, Broken>> {
+        request: &'a BackendRequest,
+        progress: &'a dyn ExchangeObserver,
+    ) -> LocalBoxFuture<'a, Result<BackendReply, ExchangeError>> {
         Box::pin(self.exchange(address, BackendKind::Service, 0, request, progress))
     }
 }
@@ -165,15 +169,15 @@
         address: SocketAddr,
         kind: BackendKind,
         priority: u8,
-    ) -> Result<Reply, Broken> {
+    ) -> Result<BackendReply, ExchangeError> {
         let request = self.encode(address, kind, priority)?;
-        self.progress.writing();
+        self.progress.on_write();
         self.write(request, &mut stream).await?;
         let (head, rest) = self.read_head(&mut stream).await?;
         let (mut response, framing) = decode(&head, &rest, stream.clone()).await?;
         let refused = response.header(OUTCOME_HEADER).is_some_and(|v| v.as_str() == NOT_RUN);
         if refused {
-            return Err(broken(Failure::Refused, "the backend server did not start the call"));
+            return Err(exchange_error(Failure::Refused, "the backend server did not start the call"));
         }
         let reply = match framing {
             Framing::Close => {
@@ -188,14 +192,14 @@
         judge(reply, kind)
     }
 
-    fn encode(&self, address: SocketAddr, kind: BackendKind, priority: u8) -> Result<Request, Broken> {
+    fn encode(&self, address: SocketAddr, kind: BackendKind, priority: u8) -> Result<Request, ExchangeError> {
         let out = self.request;
         let url = Url::parse(&format!("http://{address}{}", out.path))
-            .map_err(|e| broken(Failure::Connect, format!("no request for {}: {e}", out.path)))?;
+            .map_err(|e| exchange_error(Failure::Connect, format!("no request for {}: {e}", out.path)))?;
         let mut req = Request::new(Method::Post, url);
         req.insert_header(PROGRAM_HEADER, out.program.to_string());
         req.insert_header(CALL_HEADER, out.call.0.to_string());
-        req.insert_header(KEY_HEADER, &*out.key.0);
+        req.insert_header(IDEMPOTENCY_KEY_HEADER, &*out.key.0);
         req.insert_header("Connection", "close");
         if kind == BackendKind::Engine {
             req.insert_header(PRIORITY_HEADER, priority.to_string());
@@ -205,21 +209,21 @@
         Ok(req)
     }
 
-    async fn write(&self, request: Request, stream: &mut TcpStream) -> Result<(), Broken> {
+    async fn write(&self, request: Request, stream: &mut TcpStream) -> Result<(), ExchangeError> {
         let mut encoder = Encoder::new(request);
         let writing = async {
             smol::io::copy(&mut encoder, &mut *stream).await?;
             stream.flush().await
         };
-        match within(self.timer, self.request.patience, writing).await {
+        match with_timeout(self.timer, self.request.idle_timeout, writing).await {
             Some(Ok(())) => Ok(()),
-            Some(Err(e)) => Err(broken(Failure::Lost, format!("while writing: {e}"))),
-            None => Err(broken(Failure::Lost, "no progress while writing")),
+            Some(Err(e)) => Err(exchange_error(Failure::Lost, format!("while writing: {e}"))),
+            None => Err(exchange_error(Failure::Lost, "no progress while writing")),
         }
     }
 
     /// Reads up to the end of the head; what follows it is returned beside it.
-    async fn read_head(&self, stream: &mut TcpStream) -> Result<(Vec<u8>, Vec<u8>), Broken> {
+    async fn read_head(&self, stream: &mut TcpStream) -> Result<(Vec<u8>, Vec<u8>), ExchangeError> {
         let mut buf = Vec::new();
         let mut part = [0; 2048];
         loop {
@@ -228,25 +232,29 @@
                 return Ok((buf, rest));
             }
             if buf.len() >= HEAD_LIMIT {
-                return Err(broken(Failure::Lost, "the head of the answer is too long"));
+                return Err(exchange_error(Failure::Lost, "the head of the answer is too long"));
             }
             let count = self.read(stream, &mut part).await?;
             if count == 0 {
-                return Err(broken(Failure::Lost, "the connection closed before an answer"));
+                return Err(exchange_error(Failure::Lost, "the connection closed before an answer"));
             }
             buf.extend_from_slice(&part[..count]);
         }
     }
 
-    async fn read<R: AsyncRead + Unpin>(&self, reader: &mut R, buf: &mut [u8]) -> Result<usize, Broken> {
+    async fn read<R: AsyncRead + Unpin>(
+        &self,
+        reader: &mut R,
+        buf: &mut [u8],
+    ) -> Result<usize, ExchangeError> {
         for _ in 0..POLLS {
-            match within(self.timer, self.request.patience / POLLS, reader.read(buf)).await {
+            match with_timeout(self.timer, self.request.idle_timeout / POLLS, reader.read(buf)).await {
                 Some(Ok(count)) => return Ok(count),
-                Some(Err(e)) => return Err(broken(Failure::Lost, format!("while reading: {e}"))),
+                Some(Err(e)) => return Err(exchange_error(Failure::Lost, format!("while reading: {e}"))),
                 None => {}
             }
         }
-        Err(broken(Failure::Lost, "no progress on the answer"))
+        Err(exchange_error(Failure::Lost, "no progress on the answer"))
     }
 
     async fn read_body<R: AsyncRead + Unpin>(
@@ -255,10 +263,10 @@
         response: &Response,
         framing: Framing,
         kind: BackendKind,
-    ) -> Result<Reply, Broken> {
+    ) -> Result<BackendReply, ExchangeError> {
         let content_type = response.header("Content-Type").map_or("", |v| v.last().as_str()).to_owned();
         let events = kind == BackendKind::Engine && content_type.starts_with(EVENT_STREAM);
-        let mut splitter = Splitter::default();
+        let mut splitter = SseParser::default();
         let mut whole = Vec::new();
         let mut buf = vec![0; READ_SIZE];
         loop {
@@ -267,7 +275,7 @@
                 break;
             }
             if whole.len() + count > ANSWER_LIMIT {
-                return Err(broken(Failure::Lost, "the answer is too long"));
+                return Err(exchange_error(Failure::Lost, "the answer is too long"));
             }
             if !events {
                 whole.extend_from_slice(&buf[..count]);
@@ -276,7 +284,7 @@
             for piece in splitter.push(&buf[..count]) {
                 whole.extend_from_slice(&piece.bytes);
                 if !piece.last {
-                    self.progress.piece(&piece.bytes);
+                    self.progress.on_event(&piece.bytes);
                 }
             }
             if splitter.ended() {
@@ -288,17 +296,17 @@
             Framing::Chunked | Framing::Close => false,
         };
         if cut_off || (events && !splitter.ended()) {
-            return Err(broken(Failure::Lost, "the answer was cut off"));
+            return Err(exchange_error(Failure::Lost, "the answer was cut off"));
         }
-        let usage = if events { splitter.usage() } else { Usage::default() };
+        let usage = if events { splitter.usage() } else { TokenUsage::default() };
         let status = u16::from(response.status());
         let answer = Answer { status, content_type: content_type.into(), body: whole.into() };
-        Ok(Reply { answer, usage, tool: splitter.tool() })
+        Ok(BackendReply { answer, usage, tool: splitter.tool() })
     }
 }
 
 /// Decodes the head; the body is left to the returned response, or to the connection's end.
-async fn decode(head: &[u8], rest: &[u8], stream: TcpStream) -> Result<(Response, Framing), Broken> {
+async fn decode(head: &[u8], rest: &[u8], stream: TcpStream) -> Result<(Response, Framing), ExchangeError> {
     let mut known = head.to_vec();
     if known.starts_with(OLD_VERSION) {
         known[..OLD_VERSION.len()].copy_from_slice(b"HTTP/1.1 ");
@@ -307,12 +315,12 @@
     let reader = Cursor::new(known).chain(stream);
     let response = async_h1::client::decode(reader)
         .await
-        .map_err(|e| broken(Failure::Lost, format!("malformed answer: {e}")))?;
+        .map_err(|e| exchange_error(Failure::Lost, format!("malformed answer: {e}")))?;
     let framing = match (response.header("Transfer-Encoding"), response.header("Content-Length")) {
         (Some(_), _) => Framing::Chunked,
         (None, Some(length)) => match length.last().as_str().trim().parse() {
             Ok(length) => Framing::Length(length),
-            Err(_) => return Err(broken(Failure::Lost, "malformed length of the answer")),
+            Err(_) => return Err(exchange_error(Failure::Lost, "malformed length of the answer")),
         },
         (None, None) if u16::from(response.status()) == 204 => Framing::Length(0),
         (None, None) => Framing::Close,
@@ -321,29 +329,29 @@
 }
 
 /// Tells a usable answer from one that reports an error or is not whole in itself.
-fn judge(mut reply: Reply, kind: BackendKind) -> Result<Reply, Broken> {
+fn judge(mut reply: BackendReply, kind: BackendKind) -> Result<BackendReply, ExchangeError> {
     let status = reply.answer.status;
     let events = reply.answer.content_type.starts_with(EVENT_STREAM);
     if kind == BackendKind::Engine && status < 300 && !events {
         let Ok(value) = serde_json::from_slice(&reply.answer.body) else {
-            return Err(broken(Failure::Lost, "the answer is no JSON"));
+            return Err(exchange_error(Failure::Lost, "the answer is no JSON"));
         };
         reply.usage = usage_of(&value).unwrap_or_default();
         reply.tool = tool_of(&value);
     }
     let busy = status == 429 || status == 503;
     if kind == BackendKind::Engine && busy {
-        return Err(broken(Failure::Refused, format!("the engine answered {status}")));
+        return Err(exchange_error(Failure::Refused, format!("the engine answered {status}")));
     }
     if status >= 500 {
         let detail = format!("the backend server answered {status}").into();
-        return Err(Broken { failure: Failure::Error, detail, reply: Some(reply) });
+        return Err(ExchangeError { failure: Failure::Error, detail, reply: Some(reply) });
     }
     Ok(reply)
 }
 
-fn broken(failure: Failure, detail: impl Into<Arc<str>>) -> Broken {
-    Broken { failure, detail: detail.into(), reply: None }
+fn exchange_error(failure: Failure, detail: impl Into<Arc<str>>) -> ExchangeError {
+    ExchangeError { failure, detail: detail.into(), reply: None }
 }
 
 #[cfg(test)]
--- a/agatetrestle/src/attempts/http/admin.rs
+++ b/agatetrestle/src/attempts/http/admin.rs
@@ -13,10 +13,10 @@
 use smol::io::AsyncReadExt;
 use smol::net::TcpStream;
 
-use crate::attempts::Broken;
-use crate::attempts::EngineOrder;
-use crate::attempts::Report;
-use crate::attempts::http::broken;
+use crate::attempts::BackendReport;
+use crate::attempts::EngineCommand;
+use crate::attempts::ExchangeError;
+use crate::attempts::http::exchange_error;
 use crate::ids::ProgramId;
 use crate::scheduler::event::CacheChange;
 use crate::scheduler::event::Failure;
@@ -28,7 +28,7 @@
 #[derive(Serialize)]
 struct OrderForm {
     program: String,
-    order: EngineOrder,
+    order: EngineCommand,
 }
 
 #[derive(Deserialize)]
@@ -55,8 +55,8 @@
     stream: TcpStream,
     address: SocketAddr,
     program: &ProgramId,
-    order: EngineOrder,
-) -> Result<(), Broken> {
+    order: EngineCommand,
+) -> Result<(), ExchangeError> {
     let mut req = request(Method::Post, address, "/admin/cache")?;
     let form = OrderForm { program: program.to_string(), order };
     req.set_body(serde_json::to_vec(&form).unwrap_or_default());
@@ -65,14 +65,14 @@
     if response.status().is_success() {
         return Ok(());
     }
-    Err(broken(Failure::Error, format!("the engine answered {}", response.status())))
+    Err(exchange_error(Failure::Error, format!("the engine answered {}", response.status())))
 }
 
 pub(super) async fn report(
     stream: TcpStream,
     address: SocketAddr,
     after: u64,
-) -> Result<Option<Report>, Broken> {
+) -> Result<Option<BackendReport>, ExchangeError> {
     let req = request(Method::Get, address, &format!("/admin/report?after={after}"))?;
     let mut response = send(stream, req).await?;
     if !response.status().is_success() {
@@ -80,12 +80,12 @@
     }
     let mut bytes = Vec::new();
     let body = response.take_body().take(REPORT_LIMIT).read_to_end(&mut bytes).await;
-    body.map_err(|e| broken(Failure::Lost, e.to_string()))?;
+    body.map_err(|e| exchange_error(Failure::Lost, e.to_string()))?;
     let form: ReportForm =
-        serde_json::from_slice(&bytes).map_err(|e| broken(Failure::Lost, e.to_string()))?;
+        serde_json::from_slice(&bytes).map_err(|e| exchange_error(Failure::Lost, e.to_string()))?;
     let load = Load { running: form.running, waiting: form.waiting, age: Duration::from_millis(form.age_ms) };
     let changes = form.changes.into_iter().map(change).collect();
-    Ok(Some(Report { load, changes, position: form.position }))
+    Ok(Some(BackendReport { load, changes, position: form.position }))
 }
 
 fn change(form: ChangeForm) -> CacheChange {
@@ -96,15 +96,15 @@
     }
 }
 
-fn request(method: Method, address: SocketAddr, path: &str) -> Result<Request, Broken> {
+fn request(method: Method, address: SocketAddr, path: &str) -> Result<Request, ExchangeError> {
     let url = Url::parse(&format!("http://{address}{path}"));
-    let url = url.map_err(|e| broken(Failure::Connect, e.to_string()))?;
+    let url = url.map_err(|e| exchange_error(Failure::Connect, e.to_string()))?;
     let mut req = Request::new(method, url);
     req.insert_header("Connection", "close");
     Ok(req)
 }
 
-async fn send(stream: TcpStream, req: Request) -> Result<Response, Broken> {
+async fn send(stream: TcpStream, req: Request) -> Result<Response, ExchangeError> {
     let exchange = async_h1::connect(stream, req).await;
-    exchange.map_err(|e| broken(Failure::Lost, Arc::<str>::from(e.to_string())))
+    exchange.map_err(|e| exchange_error(Failure::Lost, Arc::<str>::from(e.to_string())))
 }
--- a/agatetrestle/src/attempts/http/tests.rs
+++ b/agatetrestle/src/attempts/http/tests.rs
@@ -18,18 +18,18 @@
     pieces: Cell<u32>,
 }
 
-impl Progress for Seen {
-    fn writing(&self) {
+impl ExchangeObserver for Seen {
+    fn on_write(&self) {
         self.wrote.set(true);
     }
 
-    fn piece(&self, _: &[u8]) {
+    fn on_event(&self, _: &[u8]) {
         self.pieces.set(self.pieces.get() + 1);
     }
 }
 
-fn outgoing() -> Outgoing {
-    Outgoing {
+fn outgoing() -> BackendRequest {
+    BackendRequest {
         program: ProgramId { partner: "vrsta".into(), name: "dawn".into() },
         call: CallNumber(1),
         key: RequestKey("k".into()),
@@ -38,7 +38,7 @@
         body: (*b"ward").into(),
         repeatable: Repeatable::No,
         stream: false,
-        patience: Duration::from_mins(1),
+        idle_timeout: Duration::from_mins(1),
     }
 }
 
@@ -57,7 +57,7 @@
             }
         }
     };
-    let backends = HttpBackends::new(Rc::new(SystemTimer), Duration::from_secs(5));
+    let backends = HttpBackendClient::new(Rc::new(SystemTimer), Duration::from_secs(5));
     let seen = Seen::default();
     let out = outgoing();
     let calling = backends.exchange(address, kind, 3, &out, &seen);
@@ -71,9 +71,9 @@
             String::from_utf8_lossy(&reply.answer.body),
             reply.usage
         ),
-        Err(broken) => {
-            let stored = broken.reply.map(|reply| reply.answer.status);
-            format!("{:?}: {} {pieces} pieces, answer {stored:?}", broken.failure, broken.detail)
+        Err(error) => {
+            let stored = error.reply.map(|reply| reply.answer.status);
+            format!("{:?}: {} {pieces} pieces, answer {stored:?}", error.failure, error.detail)
         }
     }
 }
--- a/agatetrestle/src/attempts/prefix.rs
+++ b/agatetrestle/src/attempts/prefix.rs
@@ -13,7 +13,7 @@
 /// Hashes of the whole blocks of a text, each over all before it. A rest shorter than a block has no
 /// hash, since an engine shares only whole blocks.
 #[must_use]
-pub fn blocks(text: &[u8]) -> Arc<[u64]> {
+pub fn block_hashes(text: &[u8]) -> Arc<[u64]> {
     let chain = |seed: &mut u64, block: &[u8]| {
         *seed = xxh3_64_with_seed(block, *seed);
         Some(*seed)
--- a/agatetrestle/src/attempts/run.rs
+++ b/agatetrestle/src/attempts/run.rs
@@ -8,17 +8,17 @@
 use smol::channel::Receiver;
 use smol::future::or;
 
-use crate::attempts::Broken;
-use crate::attempts::Progress;
-use crate::attempts::Reply;
+use crate::attempts::BackendReply;
+use crate::attempts::ExchangeError;
+use crate::attempts::ExchangeObserver;
+use crate::attempts::call::CallOutcome;
+use crate::attempts::call::CallStats;
+use crate::attempts::call::Caller;
+use crate::attempts::call::OutgoingCall;
+use crate::attempts::delivery::Delivery;
+use crate::attempts::delivery::ExecutionStatus;
+use crate::attempts::dispatcher::Decision;
 use crate::attempts::dispatcher::Dispatcher;
-use crate::attempts::dispatcher::Order;
-use crate::attempts::job::Caller;
-use crate::attempts::job::Job;
-use crate::attempts::job::Outcome;
-use crate::attempts::job::Times;
-use crate::attempts::machine::Ending;
-use crate::attempts::machine::Machine;
 use crate::scheduler::event::BackendKey;
 use crate::scheduler::event::CallId;
 use crate::scheduler::event::Event;
@@ -30,13 +30,13 @@
 /// A call in the dispatcher's table; leaving it tells the scheduler unless the call was settled.
 pub(super) struct Run<'a> {
     dispatcher: &'a Dispatcher,
-    job: &'a Job,
+    job: &'a OutgoingCall,
     caller: &'a dyn Caller,
     gone: &'a Receiver<()>,
-    times: &'a Cell<Times>,
+    times: &'a Cell<CallStats>,
     id: CallId,
-    orders: Receiver<Order>,
-    machine: RefCell<Machine>,
+    orders: Receiver<Decision>,
+    machine: RefCell<Delivery>,
     admitted: Cell<bool>,
     /// Set once an answer broke off: the caller was told to ask again and is no longer waited for.
     sent_away: Cell<bool>,
@@ -45,23 +45,23 @@
     settled: Cell<bool>,
     detail: RefCell<Arc<str>>,
     /// The newest whole answer that reports an error; it stands if no further attempt is made.
-    error: RefCell<Option<Reply>>,
+    error: RefCell<Option<BackendReply>>,
 }
 
-impl Progress for Run<'_> {
-    fn writing(&self) {
-        self.machine.borrow_mut().writing();
+impl ExchangeObserver for Run<'_> {
+    fn on_write(&self) {
+        self.machine.borrow_mut().begin_write();
     }
 
-    fn piece(&self, bytes: &[u8]) {
-        self.machine.borrow_mut().answering();
+    fn on_event(&self, bytes: &[u8]) {
+        self.machine.borrow_mut().receive();
         let pieces = self.pieces.get();
         self.pieces.set(pieces + 1);
         if pieces == 0 {
             self.dispatcher.step(Event::FirstToken(self.id));
         }
         if !self.sent_away.get() {
-            self.caller.piece(bytes);
+            self.caller.on_event(bytes);
         }
     }
 }
@@ -78,10 +78,10 @@
 impl<'a> Run<'a> {
     pub(super) fn new(
         dispatcher: &'a Dispatcher,
-        job: &'a Job,
+        job: &'a OutgoingCall,
         caller: &'a dyn Caller,
         gone: &'a Receiver<()>,
-        times: &'a Cell<Times>,
+        times: &'a Cell<CallStats>,
     ) -> Self {
         let (id, orders) = dispatcher.enter();
         Self {
@@ -92,7 +92,7 @@
             times,
             id,
             orders,
-            machine: RefCell::new(Machine::new(job.outgoing.repeatable)),
+            machine: RefCell::new(Delivery::new(job.request.repeatable)),
             admitted: Cell::new(false),
             sent_away: Cell::new(false),
             pieces: Cell::new(0),
@@ -102,20 +102,20 @@
         }
     }
 
-    pub(super) async fn to_the_end(&self) -> Outcome {
+    pub(super) async fn to_the_end(&self) -> CallOutcome {
         self.dispatcher.step(Event::Submit(self.job.call(self.id)));
         loop {
             let outcome = match self.next_order().await {
-                None => Some(Outcome::Cancelled(self.end())),
-                Some(Order::Dispatch { backend, priority }) => self.dispatched(backend, priority).await,
-                Some(Order::Refuse { reason, retry_after }) => {
+                None => Some(CallOutcome::Cancelled(self.end())),
+                Some(Decision::Dispatch { backend, priority }) => self.dispatched(backend, priority).await,
+                Some(Decision::Refuse { reason, retry_after }) => {
                     self.settled.set(true);
                     Some(match self.end() {
-                        Ending::NotRun => Outcome::Refused { reason, retry_after },
-                        ending => self.given_up(ending, retry_after),
+                        ExecutionStatus::NotRun => CallOutcome::Refused { reason, retry_after },
+                        execution => self.given_up(execution, retry_after),
                     })
                 }
-                Some(Order::GiveUp { retry_after }) => {
+                Some(Decision::GiveUp { retry_after }) => {
                     self.settled.set(true);
                     Some(self.give_up(retry_after))
                 }
@@ -127,42 +127,42 @@
     }
 
     /// Waits in the queue; none where the caller went away.
-    async fn next_order(&self) -> Option<Order> {
+    async fn next_order(&self) -> Option<Decision> {
         let since = self.dispatcher.clock.now();
         let order = or(async { self.orders.recv().await.ok() }, self.departed()).await;
         let span = self.dispatcher.clock.now().since(since);
-        self.add(|times| times.queued += span);
+        self.add(|times| times.queue_time += span);
         order
     }
 
     /// Makes one attempt; none where the scheduler decides about another.
-    async fn dispatched(&self, backend: BackendKey, priority: u8) -> Option<Outcome> {
+    async fn dispatched(&self, backend: BackendKey, priority: u8) -> Option<CallOutcome> {
         if !self.machine.borrow_mut().dispatch() {
             return Some(self.give_up(COMEBACK));
         }
         if !self.admitted.get() && !self.caller.admit().await {
-            return Some(Outcome::HeldBack);
+            return Some(CallOutcome::NotAdmitted);
         }
         self.admitted.set(true);
         self.pieces.set(0);
         let started = self.dispatcher.clock.now();
-        let exchange = self.dispatcher.exchange(&self.job.outgoing, backend, priority, self);
+        let exchange = self.dispatcher.exchange(&self.job.request, backend, priority, self);
         let result = or(async { Some(exchange.await) }, self.abandoned()).await;
         let span = self.dispatcher.clock.now().since(started);
         self.add(|times| {
-            times.served += span;
+            times.service_time += span;
             times.attempts += 1;
         });
         match result {
-            None => Some(Outcome::Cancelled(self.end())),
+            None => Some(CallOutcome::Cancelled(self.end())),
             Some(Ok(reply)) => Some(self.finished(reply)),
-            Some(Err(broken)) => self.failed(broken),
+            Some(Err(error)) => self.failed(error),
         }
     }
 
-    fn finished(&self, reply: Reply) -> Outcome {
+    fn finished(&self, reply: BackendReply) -> CallOutcome {
         let clamp = |count: u64| u32::try_from(count).unwrap_or(u32::MAX);
-        self.machine.borrow_mut().finished();
+        self.machine.borrow_mut().finish();
         self.settled.set(true);
         self.dispatcher.step(Event::Finished {
             call: self.id,
@@ -170,26 +170,26 @@
             cached_tokens: clamp(reply.usage.cached),
         });
         if let Some(tool) = reply.tool.clone() {
-            self.dispatcher.step(Event::Paused { program: self.job.outgoing.program.clone(), tool });
+            self.dispatcher.step(Event::Paused { program: self.job.request.program.clone(), tool });
         }
-        Outcome::Answered(reply)
+        CallOutcome::Answered(reply)
     }
 
     /// Notes a failed attempt; an outcome where no further one fits what the call may cost.
-    fn failed(&self, broken: Broken) -> Option<Outcome> {
+    fn failed(&self, error: ExchangeError) -> Option<CallOutcome> {
         if self.pieces.get() > 0 && !self.sent_away.replace(true) {
-            self.caller.broke_off();
+            self.caller.on_interrupted();
         }
-        self.detail.replace(broken.detail);
-        self.error.replace(broken.reply);
-        let failure = self.machine.borrow_mut().failed(broken.failure);
+        self.detail.replace(error.detail);
+        self.error.replace(error.reply);
+        let failure = self.machine.borrow_mut().fail(error.failure);
         if failure == Failure::Lost {
             let lost = self.job.prompt_tokens() + u64::from(self.pieces.get());
             self.add(|times| times.lost_tokens += lost);
         }
         self.dispatcher.step(Event::Failed { call: self.id, failure });
-        let needed = self.times.get().lost_tokens.saturating_add(self.job.cost);
-        (needed > self.caller.allowance()).then(|| self.give_up(COMEBACK))
+        let needed = self.times.get().lost_tokens.saturating_add(self.job.max_attempt_tokens);
+        (needed > self.caller.token_budget()).then(|| self.give_up(COMEBACK))
     }
 
     /// Completes once the caller is gone, which a caller that was sent away never is.
@@ -211,22 +211,22 @@
     }
 
     /// No further attempt: the last answer stands, if there was one.
-    fn give_up(&self, retry_after: Duration) -> Outcome {
+    fn give_up(&self, retry_after: Duration) -> CallOutcome {
         match self.error.take() {
-            Some(reply) => Outcome::Answered(reply),
+            Some(reply) => CallOutcome::Answered(reply),
             None => self.given_up(self.end(), retry_after),
         }
     }
 
-    fn given_up(&self, ending: Ending, retry_after: Duration) -> Outcome {
-        Outcome::GivenUp { ending, detail: self.detail.borrow().clone(), retry_after }
+    fn given_up(&self, execution: ExecutionStatus, retry_after: Duration) -> CallOutcome {
+        CallOutcome::Failed { execution, detail: self.detail.borrow().clone(), retry_after }
     }
 
-    fn end(&self) -> Ending {
+    fn end(&self) -> ExecutionStatus {
         self.machine.borrow_mut().end()
     }
 
-    fn add(&self, change: impl FnOnce(&mut Times)) {
+    fn add(&self, change: impl FnOnce(&mut CallStats)) {
         let mut now = self.times.get();
         change(&mut now);
         self.times.set(now);
--- a/agatetrestle/src/attempts/sse.rs
+++ b/agatetrestle/src/attempts/sse.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::attempts::Usage;
+use crate::attempts::TokenUsage;
 
 const SEPARATOR: &[u8] = b"\n\n";
 const DATA: &str = "data:";
@@ -10,27 +10,27 @@
 
 /// Cuts a stream into events and reads from them what the ledger and the scheduler need.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct SseParser {
     buf: Vec<u8>,
     scanned: usize,
     ended: bool,
     deltas: u64,
-    usage: Option<Usage>,
+    usage: Option<TokenUsage>,
     tool: Option<Arc<str>>,
 }
 
 /// One event of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Piece {
+pub struct SseEvent {
     /// The event with its separator.
     pub bytes: Vec<u8>,
     /// Whether it is the last one.
     pub last: bool,
 }
 
-impl Splitter {
+impl SseParser {
     /// Takes in bytes and returns the events that are now whole; nothing follows the last one.
-    pub fn push(&mut self, bytes: &[u8]) -> Vec<Piece> {
+    pub fn push(&mut self, bytes: &[u8]) -> Vec<SseEvent> {
         self.buf.extend(bytes.iter().filter(|b| **b != b'\r'));
         let mut pieces = Vec::new();
         while let Some(end) = self.next_end() {
@@ -41,7 +41,7 @@
                 continue;
             }
             let last = self.read(&event);
-            pieces.push(Piece { bytes: event, last });
+            pieces.push(SseEvent { bytes: event, last });
         }
         pieces
     }
@@ -54,8 +54,8 @@
 
     /// Token counts as the engine reported them, or else the number of deltas.
     #[must_use]
-    pub fn usage(&self) -> Usage {
-        self.usage.unwrap_or(Usage { output: self.deltas, ..Usage::default() })
+    pub fn usage(&self) -> TokenUsage {
+        self.usage.unwrap_or(TokenUsage { output: self.deltas, ..TokenUsage::default() })
     }
 
     /// The first tool that the answer asks for.
@@ -112,12 +112,12 @@
 
 /// Reads the `usage` object of a chat completion.
 #[must_use]
-pub fn usage_of(value: &serde_json::Value) -> Option<Usage> {
+pub fn usage_of(value: &serde_json::Value) -> Option<TokenUsage> {
     let usage = value.get("usage")?.as_object()?;
     let number = |name: &str| usage.get(name).and_then(serde_json::Value::as_u64).unwrap_or(0);
     let details = usage.get("prompt_tokens_details");
     let cached = details.and_then(|d| d.get("cached_tokens")).and_then(serde_json::Value::as_u64);
-    Some(Usage {
+    Some(TokenUsage {
         prompt: number("prompt_tokens"),
         output: number("completion_tokens"),
         cached: cached.unwrap_or(0),
--- a/agatetrestle/src/attempts/sse/tests.rs
+++ b/agatetrestle/src/attempts/sse/tests.rs
@@ -13,14 +13,14 @@
 
 #[test]
 fn every_cut_gives_the_same_events() {
-    let whole = Splitter::default().push(STREAM.as_bytes());
+    let whole = SseParser::default().push(STREAM.as_bytes());
     assert_eq!(whole.iter().map(|p| p.last).collect::<Vec<_>>(), [false, false, false, true]);
     for size in 1..40 {
-        let mut splitter = Splitter::default();
-        let pieces: Vec<Piece> = STREAM.as_bytes().chunks(size).flat_map(|c| splitter.push(c)).collect();
+        let mut splitter = SseParser::default();
+        let pieces: Vec<SseEvent> = STREAM.as_bytes().chunks(size).flat_map(|c| splitter.push(c)).collect();
         assert_eq!(pieces, whole, "in parts of {size}");
         assert!(splitter.ended());
-        assert_eq!(splitter.usage(), Usage { prompt: 7, output: 2, cached: 3 });
+        assert_eq!(splitter.usage(), TokenUsage { prompt: 7, output: 2, cached: 3 });
     }
 }
 
@@ -28,7 +28,7 @@
 fn the_first_tool_that_is_asked_for_is_found() {
     let call = |name: &str| format!("{{\"tool_calls\":[{{\"function\":{{\"name\":\"{name}\"}}}}]}}");
     let event = |name: &str| format!("data: {{\"choices\":[{{\"delta\":{}}}]}}\n\n", call(name));
-    let mut splitter = Splitter::default();
+    let mut splitter = SseParser::default();
     splitter.push(STREAM.split("data: [DONE]").next().unwrap().as_bytes());
     assert_eq!(splitter.tool(), None);
     splitter.push((event("rota") + &event("bookings")).as_bytes());
@@ -39,9 +39,9 @@
 
 #[test]
 fn a_stream_without_its_end_is_not_ended() {
-    let mut splitter = Splitter::default();
+    let mut splitter = SseParser::default();
     let pieces = splitter.push(&STREAM.as_bytes()[..60]);
     assert_eq!(pieces.len(), 1);
     assert!(!splitter.ended());
-    assert_eq!(splitter.usage(), Usage { output: 1, ..Usage::default() });
+    assert_eq!(splitter.usage(), TokenUsage { output: 1, ..TokenUsage::default() });
 }
--- a/agatetrestle/src/attempts/timer.rs
+++ b/agatetrestle/src/attempts/timer.rs
@@ -25,7 +25,7 @@
 }
 
 /// Runs a future for at most `span`; none if it was not ready by then.
-pub async fn within<T>(timer: &dyn Timer, span: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(timer: &dyn Timer, span: Duration, work: impl Future<Output = T>) -> Option<T> {
     let limit = timer.after(span);
     or(async { Some(work.await) }, async {
         limit.await;
--- a/agatetrestle/src/entry/begin.rs
+++ b/agatetrestle/src/entry/begin.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::attempts::Ending;
+use crate::attempts::ExecutionStatus;
 use crate::entry::Entry;
 use crate::entry::carry::Begun;
 use crate::entry::carry::Carried;
@@ -106,7 +106,7 @@
     /// taken back.
     async fn not_begun(&self, e: &GroupError) -> Result<Answer, Problem> {
         if let GroupError::Unknown { .. } = e {
-            self.end_attempt(Ending::NotRun).await;
+            self.end_attempt(ExecutionStatus::NotRun).await;
         }
         let problem = Problem::not_run(503, Reason::Ledger, format!("nothing was sent: {e}"));
         self.refused(problem.retry_after(COMEBACK)).await
--- a/agatetrestle/src/entry/calls.rs
+++ b/agatetrestle/src/entry/calls.rs
@@ -19,8 +19,8 @@
 use smol::channel::Sender;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::attempts::BackendRequest;
 use crate::attempts::CALL_HEADER;
-use crate::attempts::Outgoing;
 use crate::attempts::PROGRAM_HEADER;
 use crate::attempts::prefix;
 use crate::entry::Counted;
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub struct Planned {
     /// The request as it goes out.
-    pub outgoing: Outgoing,
+    pub outgoing: BackendRequest,
     /// What it asks for.
     pub work: Work,
     /// The most tokens that one attempt can cost.
@@ -172,12 +172,12 @@
     }
     let work = Work::Model {
         model: declared.pool(&program.partner, BackendKind::Engine, &model),
-        blocks: prefix::blocks(&prompt),
+        blocks: prefix::block_hashes(&prompt),
         prompt_tokens: prefix::estimate_tokens(&prompt),
         max_tokens: u32::try_from(max_tokens).unwrap_or(u32::MAX),
     };
     let bytes = u64::try_from(prompt.len()).unwrap_or(u64::MAX);
-    let outgoing = Outgoing {
+    let outgoing = BackendRequest {
         program,
         call,
         key: routes::key(request)?,
@@ -186,7 +186,7 @@
         body: serde_json::to_vec(&value).unwrap_or_default().into(),
         repeatable: Repeatable::Yes,
         stream,
-        patience: ENGINE_PATIENCE,
+        idle_timeout: ENGINE_PATIENCE,
     };
     Ok(Planned {
         outgoing,
@@ -221,7 +221,7 @@
     let repeatable = if service.repeatable && !stricter { Repeatable::Yes } else { Repeatable::No };
     let query = request.url().query().map(|q| format!("?{q}")).unwrap_or_default();
     let work = Work::Service { service: declared.pool(&program.partner, BackendKind::Service, name) };
-    let outgoing = Outgoing {
+    let outgoing = BackendRequest {
         program,
         call,
         key: routes::key(request)?,
@@ -230,7 +230,7 @@
         body: body.into(),
         repeatable,
         stream: false,
-        patience: service.timeout,
+        idle_timeout: service.timeout,
     };
     Ok(Planned {
         outgoing,
--- a/agatetrestle/src/entry/carry.rs
+++ b/agatetrestle/src/entry/carry.rs
@@ -12,10 +12,10 @@
 use futures::future::LocalBoxFuture;
 use smol::channel::Receiver;
 
+use crate::attempts::BackendReply;
+use crate::attempts::CallStats;
 use crate::attempts::Caller;
-use crate::attempts::Job;
-use crate::attempts::Reply;
-use crate::attempts::Times;
+use crate::attempts::OutgoingCall;
 use crate::clock::Timestamp;
 use crate::entry::Entry;
 use crate::entry::calls::Parts;
@@ -90,11 +90,11 @@
         })
     }
 
-    fn allowance(&self) -> u64 {
+    fn token_budget(&self) -> u64 {
         self.reserve.get()
     }
 
-    fn piece(&self, bytes: &[u8]) {
+    fn on_event(&self, bytes: &[u8]) {
         let now = self.entry.clock.now();
         let measure = match self.last_piece.replace(Some(now)) {
             None => Measure::FirstToken(now.since(self.arrived)),
@@ -104,7 +104,7 @@
         self.parts.piece(bytes);
     }
 
-    fn broke_off(&self) {
+    fn on_interrupted(&self) {
         self.parts.broke_off();
     }
 }
@@ -151,22 +151,22 @@
         self.labels.borrow_mut().class = known.view.spec.class.clone();
         self.entry.state.known.learn(&known.view, known.root.clone());
         self.entry.calls.configure(&self.entry.control.configuration());
-        let times = Cell::new(Times::default());
+        let times = Cell::new(CallStats::default());
         let outcome = self.entry.calls.run(&self.job(known), self, gone, &times).await;
         let settled = self.settle(outcome, times.get().lost_tokens).await;
         self.measure(times.get());
         settled
     }
 
-    fn job(&self, known: Known) -> Job {
-        Job {
+    fn job(&self, known: Known) -> OutgoingCall {
+        OutgoingCall {
             root: known.root,
             team: known.view.spec.team.clone(),
             class: known.view.spec.class.clone(),
             work: self.planned.work.clone(),
             deadline: self.planned.timeout.map(|span| self.arrived + span),
-            cost: self.planned.cost,
-            outgoing: self.planned.outgoing.clone(),
+            max_attempt_tokens: self.planned.cost,
+            request: self.planned.outgoing.clone(),
         }
     }
 
@@ -195,7 +195,7 @@
         }
     }
 
-    pub(super) fn measure_answer(&self, reply: &Reply) {
+    pub(super) fn measure_answer(&self, reply: &BackendReply) {
         let (recorder, labels) = (&self.entry.recorder, self.labels.borrow());
         recorder.record(&labels, &Measure::Tokens(reply.usage.output));
         if self.last_piece.get().is_none() {
@@ -204,11 +204,11 @@
         }
     }
 
-    fn measure(&self, times: Times) {
+    fn measure(&self, times: CallStats) {
         let (recorder, labels) = (&self.entry.recorder, self.labels.borrow());
         let total = self.entry.clock.now().since(self.arrived);
-        let waited = times.queued + times.served + self.committing.get();
-        recorder.record(&labels, &Measure::QueueWait(times.queued));
+        let waited = times.queue_time + times.service_time + self.committing.get();
+        recorder.record(&labels, &Measure::QueueWait(times.queue_time));
         recorder.record(&labels, &Measure::AddedTime(total.saturating_sub(waited)));
         for _ in 1..times.attempts {
             recorder.record(&labels, &Measure::Retried("failed"));
--- a/agatetrestle/src/entry/connection.rs
+++ b/agatetrestle/src/entry/connection.rs
@@ -12,7 +12,7 @@
 use smol::io::AsyncWriteExt;
 use smol::net::TcpStream;
 
-use crate::attempts::timer::within;
+use crate::attempts::timer::with_timeout;
 use crate::entry::Counted;
 use crate::entry::Entry;
 use crate::entry::guard::Guard;
@@ -109,7 +109,7 @@
             return true;
         }
         let writing = stream.write_all(&buf[..count]);
-        if !matches!(within(&*entry.timer, entry.limits.idle, writing).await, Some(Ok(()))) {
+        if !matches!(with_timeout(&*entry.timer, entry.limits.idle, writing).await, Some(Ok(()))) {
             return false;
         }
     }
@@ -133,7 +133,7 @@
             }
         }
     };
-    within(&*entry.timer, entry.limits.head_time, draining).await;
+    with_timeout(&*entry.timer, entry.limits.head_time, draining).await;
 }
 
 trait Close {
--- a/agatetrestle/src/entry/declared.rs
+++ b/agatetrestle/src/entry/declared.rs
@@ -81,7 +81,7 @@
     /// Name under which the partner's calls find their backend servers.
     #[must_use]
     pub fn pool(&self, partner: &str, kind: BackendKind, name: &str) -> Arc<str> {
-        catalog::pool(partner, self.documents.get(partner), kind, name)
+        catalog::pool_name(partner, self.documents.get(partner), kind, name)
     }
 
     fn visible(&self, partner: &str) -> impl Iterator<Item = &Declarations> {
--- a/agatetrestle/src/entry/guard.rs
+++ b/agatetrestle/src/entry/guard.rs
@@ -24,7 +24,7 @@
 use smol::net::TcpStream;
 
 use crate::attempts::Timer;
-use crate::attempts::timer::within;
+use crate::attempts::timer::with_timeout;
 use crate::entry::problem::Problem;
 use crate::entry::problem::Reason;
 
@@ -109,7 +109,7 @@
         let limit = usize::try_from(self.limits.head).unwrap_or(usize::MAX).min(DECODER_HEAD - 1);
         let timer = Rc::clone(&self.timer);
         let span = self.limits.head_time;
-        match within(&*timer, span, self.read_to_head_end(limit)).await {
+        match with_timeout(&*timer, span, self.read_to_head_end(limit)).await {
             Some(found) => found,
             None => Err(slow_head()),
         }
@@ -155,7 +155,7 @@
         let len = self.buf.len();
         self.buf.resize(len + READ_SIZE, 0);
         let reading = self.stream.read(&mut self.buf[len..]);
-        let count = within(&*self.timer, span, reading).await.map(Result::unwrap_or_default);
+        let count = with_timeout(&*self.timer, span, reading).await.map(Result::unwrap_or_default);
         self.buf.truncate(len + count.unwrap_or(0));
         count.map(|count| count > 0)
     }
@@ -164,7 +164,7 @@
     async fn wait(&self) -> bool {
         let mut first = [0];
         let peeking = self.stream.peek(&mut first);
-        matches!(within(&*self.timer, self.limits.idle, peeking).await, Some(Ok(1)))
+        matches!(with_timeout(&*self.timer, self.limits.idle, peeking).await, Some(Ok(1)))
     }
 }
 
--- a/agatetrestle/src/entry/routes.rs
+++ b/agatetrestle/src/entry/routes.rs
@@ -7,7 +7,7 @@
 use http_types::Response;
 use smol::channel::Receiver;
 
-use crate::attempts::KEY_HEADER;
+use crate::attempts::IDEMPOTENCY_KEY_HEADER;
 use crate::entry::Entry;
 use crate::entry::calls;
 use crate::entry::connection::Context;
@@ -90,7 +90,7 @@
 ///
 /// Refuses a missing, empty, long or unprintable key.
 pub fn key(request: &Request) -> Result<RequestKey, Problem> {
-    let key = request.header(KEY_HEADER).map(|v| v.last().as_str()).unwrap_or_default();
+    let key = request.header(IDEMPOTENCY_KEY_HEADER).map(|v| v.last().as_str()).unwrap_or_default();
     usable_key(key)
 }
 
--- a/agatetrestle/src/entry/settle.rs
+++ b/agatetrestle/src/entry/settle.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::attempts::Ending;
-use crate::attempts::Outcome;
-use crate::attempts::Reply;
+use crate::attempts::BackendReply;
+use crate::attempts::CallOutcome;
+use crate::attempts::ExecutionStatus;
 use crate::entry::carry::Carried;
 use crate::entry::problem::Problem;
 use crate::entry::problem::Reason;
@@ -25,20 +25,22 @@
 const SETTLE_PAUSE: Duration = Duration::from_millis(500);
 
 impl Carried<'_> {
-    pub(super) async fn settle(&self, outcome: Outcome, lost: u64) -> Result<Answer, Problem> {
+    pub(super) async fn settle(&self, outcome: CallOutcome, lost: u64) -> Result<Answer, Problem> {
         let (ending, problem) = match outcome {
-            Outcome::Answered(reply) => return self.finish(reply, lost).await,
-            Outcome::HeldBack => {
+            CallOutcome::Answered(reply) => return self.finish(reply, lost).await,
+            CallOutcome::NotAdmitted => {
                 return self.held_back.take().unwrap_or_else(|| Err(programs::in_progress()));
             }
-            Outcome::Refused { reason, retry_after } => {
+            CallOutcome::Refused { reason, retry_after } => {
                 let problem = Problem::not_run(503, reason.into(), "the call was turned away");
-                (Ending::NotRun, problem.retry_after(retry_after))
+                (ExecutionStatus::NotRun, problem.retry_after(retry_after))
             }
-            Outcome::GivenUp { ending, detail, retry_after } => {
-                (ending, given_up(ending, detail, retry_after))
+            CallOutcome::Failed { execution, detail, retry_after } => {
+                (execution, given_up(execution, detail, retry_after))
+            }
+            CallOutcome::Cancelled(ending) => {
+                (ending, given_up(ending, "the caller went away".into(), COMEBACK))
             }
-            Outcome::Cancelled(ending) => (ending, given_up(ending, "the caller went away".into(), COMEBACK)),
         };
         if !self.begun.get() {
             return self.refused(problem).await;
@@ -48,7 +50,7 @@
     }
 
     /// Stores the answer and settles what it cost, lost attempts included.
-    async fn finish(&self, reply: Reply, lost: u64) -> Result<Answer, Problem> {
+    async fn finish(&self, reply: BackendReply, lost: u64) -> Result<Answer, Problem> {
         let out = &self.planned.outgoing;
         let reserve = self.reserve.get();
         let spent = reply.usage.prompt.saturating_add(reply.usage.output).saturating_add(lost);
@@ -92,13 +94,15 @@
 
     /// Tells the ledger how the attempt ended. What the ledger does not take at once is owed. A repeatable
     /// call in doubt may be begun again, and what the lost attempt may have cost stays charged.
-    pub(super) async fn end_attempt(&self, ending: Ending) {
+    pub(super) async fn end_attempt(&self, ending: ExecutionStatus) {
         let program = self.planned.outgoing.program.clone();
         let call = self.planned.outgoing.call;
         let attempt = self.attempt;
         let command = match ending {
-            Ending::NotRun => ProgramCommand::NotRun { program, call, attempt },
-            Ending::Unknown | Ending::Open => ProgramCommand::Unknown { program, call, attempt },
+            ExecutionStatus::NotRun => ProgramCommand::NotRun { program, call, attempt },
+            ExecutionStatus::Unknown | ExecutionStatus::Retryable => {
+                ProgramCommand::Unknown { program, call, attempt }
+            }
         };
         if self.commit(&command, 1).await.is_none() {
             self.owed.replace(Some(command));
@@ -131,10 +135,12 @@
     }
 }
 
-fn given_up(ending: Ending, detail: Arc<str>, retry_after: Duration) -> Problem {
+fn given_up(ending: ExecutionStatus, detail: Arc<str>, retry_after: Duration) -> Problem {
     match ending {
-        Ending::NotRun => Problem::not_run(503, Reason::Unreachable, detail).retry_after(retry_after),
-        Ending::Open => Problem::unknown(502, Reason::Lost, detail).retry_after(retry_after),
-        Ending::Unknown => Problem::unknown(502, Reason::InDoubt, detail),
+        ExecutionStatus::NotRun => {
+            Problem::not_run(503, Reason::Unreachable, detail).retry_after(retry_after)
+        }
+        ExecutionStatus::Retryable => Problem::unknown(502, Reason::Lost, detail).retry_after(retry_after),
+        ExecutionStatus::Unknown => Problem::unknown(502, Reason::InDoubt, detail),
     }
 }
--- a/agatetrestle/src/node/assembly.rs
+++ b/agatetrestle/src/node/assembly.rs
@@ -12,7 +12,7 @@
 
 use crate::attempts::Dispatcher;
 use crate::attempts::SystemTimer;
-use crate::attempts::http::HttpBackends;
+use crate::attempts::http::HttpBackendClient;
 use crate::clock::Clock;
 use crate::clock::micros;
 use crate::entry;
@@ -182,7 +182,7 @@
     clock: Clock,
 ) -> Rc<Dispatcher> {
     let timer: Rc<SystemTimer> = Rc::new(SystemTimer);
-    let backends = Rc::new(HttpBackends::new(timer.clone(), connect_within));
+    let backends = Rc::new(HttpBackendClient::new(timer.clone(), connect_within));
     Rc::new(Dispatcher::new(scheduler.clone(), backends.clone(), backends, timer, clock))
 }
 
--- a/agatetrestle/src/node/listings.rs
+++ b/agatetrestle/src/node/listings.rs
@@ -10,7 +10,7 @@
 use crate::agreement::ReplicaChange;
 use crate::agreement::StateMachine;
 use crate::attempts::catalog;
-use crate::attempts::catalog::Addresses;
+use crate::attempts::catalog::Endpoints;
 use crate::ids::GroupId;
 use crate::node::control_port::ControlPort;
 use crate::node::group::Group;
@@ -82,16 +82,17 @@
 impl Backends for BackendListing {
     fn backends(&self) -> Vec<BackendView> {
         let documents = catalog::parse(&self.control.configuration());
-        let (_, addresses) = catalog::build(&documents);
+        let (_, endpoints) = catalog::build(&documents);
         let scheduler = self.scheduler.borrow();
-        let view = |state: &BackendState| view(&**scheduler, &addresses, state);
+        let view = |state: &BackendState| view(&**scheduler, &endpoints, state);
         scheduler.loads().iter().filter_map(view).collect()
     }
 }
 
-fn view(scheduler: &dyn Scheduler, addresses: &Addresses, state: &BackendState) -> Option<BackendView> {
+fn view(scheduler: &dyn Scheduler, endpoints: &Endpoints, state: &BackendState) -> Option<BackendView> {
     let backend = scheduler.backend(state.key)?;
-    let address = addresses.get(&backend.name).map(|target| target.address.to_string()).unwrap_or_default();
+    let address =
+        endpoints.get(&backend.name).map(|endpoint| endpoint.address.to_string()).unwrap_or_default();
     let kind = match backend.kind {
         BackendKind::Engine => "engine",
         BackendKind::Service => "service",
--- a/agatetrestle/src/node/mod.rs
+++ b/agatetrestle/src/node/mod.rs
@@ -134,7 +134,7 @@
         tasks.push(executor.spawn(operator::serve(operators, listeners.operators, executor.clone())));
         tasks.push(executor.spawn(metrics::serve(metrics, listeners.metrics, executor.clone())));
         tasks.push(executor.spawn(entry::serve(entry.clone(), listeners.callers, executor.clone())));
-        tasks.push(executor.spawn(async move { calls.run_ticks().await }));
+        tasks.push(executor.spawn(async move { calls.run_background().await }));
         tasks.push(executor.spawn(assembly.heartbeats.clone().run()));
         if let Some(orders) = assembly.orders(&replicas) {
             tasks.push(executor.spawn(orders.run(settings.timing.heartbeat)));
--- a/agatetrestle/tests/support/mod.rs
+++ b/agatetrestle/tests/support/mod.rs
@@ -13,7 +13,7 @@
 
 use agatetrestle::attempts::Dispatcher;
 use agatetrestle::attempts::Timer;
-use agatetrestle::attempts::http::HttpBackends;
+use agatetrestle::attempts::http::HttpBackendClient;
 use agatetrestle::clock::Clock;
 use agatetrestle::control::command::Configuration;
 use agatetrestle::control::command::ControlCommand;
@@ -300,7 +300,7 @@
 
     pub async fn node_with(&self, id: u64, scheduler: Box<dyn Scheduler>) -> Node {
         let timer: Rc<dyn Timer> = self.timer.clone();
-        let backends = Rc::new(HttpBackends::new(Rc::clone(&timer), Duration::from_secs(1)));
+        let backends = Rc::new(HttpBackendClient::new(Rc::clone(&timer), Duration::from_secs(1)));
         let clock = Clock::start();
         let scheduler = Rc::new(RefCell::new(scheduler));
         let calls = Rc::new(Dispatcher::new(scheduler, backends.clone(), backends, Rc::clone(&timer), clock));
--- a/agatetrestle/tests/upkeep.rs
+++ b/agatetrestle/tests/upkeep.rs
@@ -98,7 +98,7 @@
         let scheduler = Releasing { inner: Baseline::default(), told: Rc::clone(&told) };
         let node = rig.node_with(1, Box::new(scheduler)).await;
         let calls = Rc::clone(&node.entry.calls);
-        executor.spawn(async move { calls.run_ticks().await }).detach();
+        executor.spawn(async move { calls.run_background().await }).detach();
         rig.open(&node).await;
         let form = chat_form("small", &"You find replacements. ".repeat(60), "Ana is ill.", 2);
         node.client.chat(&call(1, "k1"), &form).await.unwrap();
