--- a/agatetrestle/src/node/assembly.rs
+++ b/agatetrestle/src/node/assembly.rs
@@ -146,7 +146,7 @@
 
     pub(super) fn orders(&self, replicas: &Replicas) -> Option<Orders> {
         let timing = &self.settings.timing;
-        let engines = Rc::new(HttpEngineAdmin { deadline: timing.peer_call });
+        let engines = Rc::new(HttpEngineAdmin { timeout: timing.peer_call });
         let wait_out = timing.election_timeout + timing.clock_drift;
         let group = replicas.control.clone()?;
         Some(Orders::new(self.node, self.clock, group, self.control.clone(), engines, wait_out))
--- a/agatetrestle/src/node/orders.rs
+++ b/agatetrestle/src/node/orders.rs
@@ -24,11 +24,11 @@
 use crate::ids::NodeId;
 use crate::node::control_port::ControlPort;
 use crate::node::group::Group;
-use crate::orders::desk::Desk;
-use crate::orders::desk::Mandate;
-use crate::orders::desk::Order;
-use crate::orders::desk::Wanted;
 use crate::orders::engines::EngineAdmin;
+use crate::orders::reconciler::EngineSpec;
+use crate::orders::reconciler::LeaderLease;
+use crate::orders::reconciler::Order;
+use crate::orders::reconciler::Reconciler;
 use crate::ports::Control;
 
 /// Engines that are asked in one turn what they serve; all are asked in the end.
@@ -43,7 +43,7 @@
     group: Rc<Group<ControlState>>,
     control: Rc<ControlPort>,
     engines: Rc<dyn EngineAdmin>,
-    desk: RefCell<Desk>,
+    desk: RefCell<Reconciler>,
     addresses: RefCell<BTreeMap<Arc<str>, SocketAddr>>,
     revision: Cell<Option<u64>>,
     fence: Cell<Option<(u64, u64)>>,
@@ -66,7 +66,7 @@
             group,
             control,
             engines,
-            desk: RefCell::new(Desk::new(clock.now(), 0, wait_out)),
+            desk: RefCell::new(Reconciler::new(clock.now(), 0, wait_out)),
             addresses: RefCell::default(),
             revision: Cell::new(None),
             fence: Cell::new(None),
@@ -84,7 +84,7 @@
 
     async fn turn(&self) {
         if !self.group.leads() {
-            self.desk.borrow_mut().authorise(None);
+            self.desk.borrow_mut().set_lease(None);
             return;
         }
         self.take_declarations();
@@ -106,7 +106,7 @@
         let rate = documents.iter().find_map(|(_, document)| document.weight_store.as_ref());
         let rate = rate.map_or(0, |store| store.rate);
         let (wanted, addresses) = wanted(&documents);
-        self.desk.borrow_mut().declare(wanted, rate);
+        self.desk.borrow_mut().set_specs(wanted, rate);
         self.addresses.replace(addresses);
     }
 
@@ -138,17 +138,17 @@
         let now = self.clock.now();
         let fence = self.fence.get().filter(|(term, _)| *term == self.group.term());
         let leads = self.group.leads_until(now + MANDATE);
-        let mandate = fence.filter(|_| leads).map(|(_, number)| Mandate {
-            fence: number,
-            since: now,
-            until: now + MANDATE,
+        let mandate = fence.filter(|_| leads).map(|(_, number)| LeaderLease {
+            fencing_token: number,
+            acquired_at: now,
+            expires_at: now + MANDATE,
         });
-        self.desk.borrow_mut().authorise(mandate);
+        self.desk.borrow_mut().set_lease(mandate);
     }
 
     fn next(&self) -> Option<Order> {
         self.renew();
-        self.desk.borrow_mut().next(self.clock.now())
+        self.desk.borrow_mut().next_order(self.clock.now())
     }
 
     async fn send(&self, order: &Order) {
@@ -157,13 +157,16 @@
         // The process may have been paused since the order was decided.
         let may_send = self.desk.borrow().may_send(self.clock.now(), order);
         let Some(address) = address.filter(|_| may_send) else {
-            self.desk.borrow_mut().failed(order);
+            self.desk.borrow_mut().mark_failed(order);
             return;
         };
-        info!("{} is ordered to load {} under fencing number {}.", order.engine, order.model, order.fence);
-        if let Err(failure) = self.engines.load(address, order.model.clone(), order.fence).await {
+        info!(
+            "{} is ordered to load {} under fencing number {}.",
+            order.engine, order.model, order.fencing_token
+        );
+        if let Err(failure) = self.engines.load(address, order.model.clone(), order.fencing_token).await {
             warn!("{} did not take the order: {failure}.", order.engine);
-            self.desk.borrow_mut().failed(order);
+            self.desk.borrow_mut().mark_failed(order);
         }
     }
 
@@ -177,7 +180,7 @@
     }
 
     async fn ask(&self, name: &Arc<str>, address: SocketAddr) {
-        match self.engines.serves(address).await {
+        match self.engines.served_model(address).await {
             Ok(model) => self.desk.borrow_mut().observe(name, model),
             Err(failure) => debug!("{name} does not say what it serves: {failure}."),
         }
@@ -186,7 +189,7 @@
 
 fn wanted(
     documents: &[(Arc<str>, Declarations)],
-) -> (BTreeMap<Arc<str>, Wanted>, BTreeMap<Arc<str>, SocketAddr>) {
+) -> (BTreeMap<Arc<str>, EngineSpec>, BTreeMap<Arc<str>, SocketAddr>) {
     let models: BTreeMap<&Arc<str>, u64> =
         documents.iter().flat_map(|(_, d)| &d.models).map(|(name, model)| (name, model.weights)).collect();
     let servers = documents.iter().flat_map(|(_, d)| &d.backend_servers);
@@ -196,7 +199,10 @@
     for (name, server) in engines {
         let weights = models.get(&server.serves).copied().unwrap_or(0);
         let model = server.serves.clone();
-        wanted.insert(name.clone(), Wanted { model, weights, checks_fencing: server.checks_fencing });
+        wanted.insert(
+            name.clone(),
+            EngineSpec { model, weights_bytes: weights, checks_fencing: server.checks_fencing },
+        );
         addresses.insert(name.clone(), server.address);
     }
     (wanted, addresses)
--- a/agatetrestle/src/orders/engines.rs
+++ b/agatetrestle/src/orders/engines.rs
@@ -21,7 +21,7 @@
 use crate::node::peer_link::within;
 
 /// Header that carries the fencing number of an order.
-pub const FENCE_HEADER: &str = "Agatetrestle-Fence";
+pub const FENCING_TOKEN_HEADER: &str = "Agatetrestle-Fence";
 /// Largest answer that is read.
 const MAX_ANSWER: u64 = 1 << 20;
 
@@ -54,7 +54,7 @@
 /// The engines at the border of this slice.
 pub trait EngineAdmin {
     /// The model that an engine serves, if any.
-    fn serves(&self, engine: SocketAddr) -> LocalBoxFuture<'_, Result<Option<Arc<str>>, EngineError>>;
+    fn served_model(&self, engine: SocketAddr) -> LocalBoxFuture<'_, Result<Option<Arc<str>>, EngineError>>;
 
     /// Orders an engine to load a model. Loading what is loaded changes nothing.
     fn load(
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HttpEngineAdmin {
     /// Bound on one exchange.
-    pub deadline: Duration,
+    pub timeout: Duration,
 }
 
 #[derive(Deserialize)]
@@ -89,12 +89,12 @@
 
 impl HttpEngineAdmin {
     async fn exchange(&self, engine: SocketAddr, request: Request) -> Result<Vec<u8>, EngineError> {
-        within(self.deadline, exchange(engine, request)).await.unwrap_or(TimeoutSnafu.fail())
+        within(self.timeout, exchange(engine, request)).await.unwrap_or(TimeoutSnafu.fail())
     }
 }
 
 impl EngineAdmin for HttpEngineAdmin {
-    fn serves(&self, engine: SocketAddr) -> LocalBoxFuture<'_, Result<Option<Arc<str>>, EngineError>> {
+    fn served_model(&self, engine: SocketAddr) -> LocalBoxFuture<'_, Result<Option<Arc<str>>, EngineError>> {
         Box::pin(async move {
             let request = request(Method::Get, engine, "/v1/models")?;
             let bytes = self.exchange(engine, request).await?;
@@ -111,7 +111,7 @@
     ) -> LocalBoxFuture<'_, Result<(), EngineError>> {
         Box::pin(async move {
             let mut request = request(Method::Post, engine, "/admin/models")?;
-            request.insert_header(FENCE_HEADER, fence.to_string());
+            request.insert_header(FENCING_TOKEN_HEADER, fence.to_string());
             request.set_body(Body::from_json(&Load { model: &model }).map_err(|failure| unusable(&failure))?);
             self.exchange(engine, request).await.map(|_| ())
         })
--- a/agatetrestle/src/orders/mod.rs
+++ b/agatetrestle/src/orders/mod.rs
@@ -4,8 +4,8 @@
 //! can no longer give orders by its own clock. Loads are paced so that all together stay within the
 //! weight store's rate; see docs/design/011-orders-to-engines.md.
 
-pub mod desk;
 pub mod engines;
-pub mod pace;
+pub mod pacer;
+pub mod reconciler;
 #[cfg(test)]
 mod tests;
--- a/agatetrestle/src/orders/pace.rs
+++ b/agatetrestle/src/orders/pacer.rs
@@ -9,12 +9,12 @@
 /// Spaces loads so that their bytes stay within a rate. Loads go one after the other: two at once
 /// would each take twice as long and neither engine would serve sooner.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct LoadPacer {
     rate: u64,
     free_at: Timestamp,
 }
 
-impl Pace {
+impl LoadPacer {
     /// A pace of `rate` bytes a second; a rate of 0 stands for no limit.
     #[must_use]
     pub fn new(rate: u64, now: Timestamp) -> Self {
--- a/agatetrestle/tests/orders.rs
+++ b/agatetrestle/tests/orders.rs
@@ -9,7 +9,7 @@
 use agatetrestle::control::command::ControlCommand;
 use agatetrestle::control::command::ControlReply;
 use agatetrestle::ids::CONTROL_GROUP;
-use agatetrestle::orders::engines::FENCE_HEADER;
+use agatetrestle::orders::engines::FENCING_TOKEN_HEADER;
 use agatetrestle_fakes::server;
 use http_types::Method;
 use http_types::Response;
@@ -39,7 +39,7 @@
             let data = if self.loaded.get() { json!([{ "id": "tutor" }]) } else { json!([]) };
             return server::json(StatusCode::Ok, &json!({ "data": data }));
         }
-        let fence: u64 = server::header(request, FENCE_HEADER).parse().unwrap();
+        let fence: u64 = server::header(request, FENCING_TOKEN_HEADER).parse().unwrap();
         let newest = self.fences.borrow().last().copied().unwrap_or(0);
         if fence < newest {
             return Response::new(StatusCode::Conflict);
