--- a/agatetrestle/src/deployment/directory.rs
+++ b/agatetrestle/src/deployment/directory.rs
@@ -11,7 +11,7 @@
 
 use crate::cluster::message::Member;
 use crate::cluster::registry::ClusterRegistry;
-use crate::gateway::wire::Wire;
+use crate::gateway::wire::WireFormat;
 use crate::transport::body::AnswerBody;
 use crate::transport::server::Handler;
 
@@ -23,7 +23,7 @@
 /// Entries of the caller's own failure domain that suffice, so that the loss of one leaves another.
 const ENOUGH: usize = 2;
 
-pub(super) fn handler(wire: Rc<dyn Wire>, registry: Rc<ClusterRegistry>, bound: Duration) -> Handler {
+pub(super) fn handler(wire: Rc<dyn WireFormat>, registry: Rc<ClusterRegistry>, bound: Duration) -> Handler {
     Rc::new(move |request| {
         let response = match wire.read_lookup(request.uri()) {
             None => empty(StatusCode::NOT_FOUND),
--- a/agatetrestle/src/deployment/entry.rs
+++ b/agatetrestle/src/deployment/entry.rs
@@ -103,7 +103,7 @@
         seed: frame.node.0,
         clock: frame.clock,
         bounds: bounds.clone(),
-        body_room: frame.memory() / BODY_SHARE,
+        body_buffer_bytes: frame.memory() / BODY_SHARE,
         recorder: frame.metrics.clone(),
         executor: frame.executor.clone(),
     });
@@ -111,7 +111,7 @@
     frame.view.watch(Rc::new(EntryWatcher { gateway: gateway.clone(), turns, view: frame.view.clone() }));
     frame.serve_peers(PeerServer::default());
     let (introduced, member) = (gateway.clone(), frame.member());
-    let introduce = Rc::new(move || Member { ready: introduced.ready(), ..member.clone() }.into());
+    let introduce = Rc::new(move || Member { ready: introduced.is_ready(), ..member.clone() }.into());
     let subscriber = frame.subscriber(introduce, None);
     serve_callers(frame, &gateway, &bounds);
     serve_readiness(frame, &gateway);
@@ -123,7 +123,7 @@
     let gateway = gateway.clone();
     let handler: Handler = Rc::new(move |request| {
         let gateway = gateway.clone();
-        Box::pin(async move { gateway.answer(request).await })
+        Box::pin(async move { gateway.handle(request).await })
     });
     serve_http(frame, frame.settings.listen.callers, handler, bounds.clone());
 }
@@ -131,8 +131,8 @@
 fn serve_readiness(frame: &Frame, gateway: &Rc<Gateway>) {
     let (gateway, wire) = (gateway.clone(), frame.wire.clone());
     let handler: Handler = Rc::new(move |request| {
-        let known = wire.is_readiness(request.uri());
-        let status = match (known, gateway.ready()) {
+        let known = wire.is_readiness_probe(request.uri());
+        let status = match (known, gateway.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -152,7 +152,7 @@
     /// Goes on to serve until no caller can still have its address, then until nothing is under way.
     fn stop(&self) -> LocalBoxFuture<'_, ()> {
         Box::pin(async move {
-            self.gateway.stop();
+            self.gateway.start_draining();
             let started = self.clock.now();
             let aged = MAX_AGE * KEPT_FACTOR;
             let most = self.grace.saturating_sub(GRACE_MARGIN);
--- a/agatetrestle/src/deployment/listing.rs
+++ b/agatetrestle/src/deployment/listing.rs
@@ -24,7 +24,7 @@
 use crate::cluster::registry::ClusterRegistry;
 use crate::control::state::ControlState;
 use crate::dispatch::Instance;
-use crate::gateway::wire::Wire;
+use crate::gateway::wire::WireFormat;
 use crate::node::group::Group;
 use crate::node::peer_link::within;
 use crate::ports::Recorder;
@@ -65,7 +65,7 @@
 }
 
 pub(super) struct Listing {
-    pub(super) wire: Rc<dyn Wire>,
+    pub(super) wire: Rc<dyn WireFormat>,
     pub(super) settings: BackendList,
     pub(super) group: Rc<Group<ControlState>>,
     pub(super) registry: Rc<ClusterRegistry>,
@@ -139,14 +139,14 @@
         let mut list = List::default();
         let mut page: Option<Arc<str>> = None;
         for pages in 1..=MOST_PAGES {
-            let path = self.wire.list_path(page.as_deref());
+            let path = self.wire.instances_path(page.as_deref());
             let reading = within(PAGE_TIME, get(client, self.settings.address, &path)).await;
             let body = reading.ok_or(ListError::Silent)??;
-            let read = self.wire.read_list(&body);
+            let read = self.wire.read_instances(&body);
             let read = read.map_err(|failure| ListError::Broken { reason: failure.to_string() })?;
             list.instances.extend(read.instances);
-            list.unreadable += read.unreadable;
-            match read.next {
+            list.unreadable += read.malformed;
+            match read.next_page {
                 Some(next) => page = Some(next),
                 None => return Ok(List { pages, ..list }),
             }
--- a/agatetrestle/src/deployment/mod.rs
+++ b/agatetrestle/src/deployment/mod.rs
@@ -48,7 +48,7 @@
 use crate::cluster::subscriber::Introduce;
 use crate::cluster::subscriber::Subscriber;
 use crate::cluster::view::View;
-use crate::gateway::wire::Wire;
+use crate::gateway::wire::WireFormat;
 use crate::ids::NodeId;
 use crate::metrics;
 use crate::metrics::Metrics;
@@ -111,7 +111,7 @@
 pub(crate) struct Frame {
     settings: Deployment,
     file: PathBuf,
-    wire: Rc<dyn Wire>,
+    wire: Rc<dyn WireFormat>,
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
     node: NodeId,
@@ -128,7 +128,7 @@
 pub async fn run(
     file: &Path,
     settings: Deployment,
-    wire: Rc<dyn Wire>,
+    wire: Rc<dyn WireFormat>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), StartError> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).context(SignalsSnafu)?;
--- a/agatetrestle/src/deployment/operators.rs
+++ b/agatetrestle/src/deployment/operators.rs
@@ -22,8 +22,8 @@
 use crate::control::command::ControlCommand;
 use crate::control::command::ControlReply;
 use crate::control::command::Document;
-use crate::gateway::wire::OperatorCall;
-use crate::gateway::wire::Wire;
+use crate::gateway::wire::OperatorRequest;
+use crate::gateway::wire::WireFormat;
 use crate::node::router::Router;
 use crate::ports::GroupError;
 use crate::transport::body::AnswerBody;
@@ -35,11 +35,11 @@
 const FIRST_MARK: u64 = 1;
 
 struct Operators {
-    wire: Rc<dyn Wire>,
+    wire: Rc<dyn WireFormat>,
     router: Rc<Router>,
 }
 
-pub(super) fn handler(wire: Rc<dyn Wire>, router: Rc<Router>) -> Handler {
+pub(super) fn handler(wire: Rc<dyn WireFormat>, router: Rc<Router>) -> Handler {
     let operators = Rc::new(Operators { wire, router });
     Rc::new(move |request| {
         let operators = operators.clone();
@@ -72,11 +72,11 @@
             Ok(body) => body.to_bytes(),
             Err(failure) => return plain(StatusCode::PAYLOAD_TOO_LARGE, failure.to_string()),
         };
-        match self.wire.read_operator(&head.method, head.uri.path(), &body) {
-            Some(OperatorCall::Publish(text)) => self.publish(text).await,
-            Some(OperatorCall::Read) => self.read().await,
-            Some(OperatorCall::Empty(vm)) => self.empty(vm).await,
-            Some(OperatorCall::Emptied(vm)) => self.emptied(vm).await,
+        match self.wire.read_operator_request(&head.method, head.uri.path(), &body) {
+            Some(OperatorRequest::PublishRoutes(text)) => self.publish(text).await,
+            Some(OperatorRequest::ReadRoutes) => self.read().await,
+            Some(OperatorRequest::Drain(vm)) => self.empty(vm).await,
+            Some(OperatorRequest::DrainStatus(vm)) => self.emptied(vm).await,
             None => plain(StatusCode::NOT_FOUND, "there is no such call"),
         }
     }
@@ -136,7 +136,7 @@
     async fn emptied(&self, vm: Arc<str>) -> Response<AnswerBody> {
         match self.ask::<Emptying>(&ControlRequest::Emptying(vm)).await {
             Ok(Emptying::Unknown) => plain(StatusCode::NOT_FOUND, "there is no such store"),
-            Ok(emptying) => json(self.wire.write_emptying(emptying)),
+            Ok(emptying) => json(self.wire.write_drain_status(emptying)),
             Err(failure) => unsure(&failure),
         }
     }
--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -36,7 +36,7 @@
 use crate::deployment::Frame;
 use crate::deployment::replicated::Replicated;
 use crate::deployment::timing;
-use crate::gateway::wire::Wire;
+use crate::gateway::wire::WireFormat;
 use crate::ids::FIRST_STATE_GROUP;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
@@ -226,7 +226,7 @@
 /// Passes on which teams are declared, and where the stores are each time the members change.
 struct StoreWatcher {
     stores: Sender<BTreeMap<NodeId, SocketAddrV4>>,
-    wire: Rc<dyn Wire>,
+    wire: Rc<dyn WireFormat>,
     clock: Clock,
     openings: Rc<RefCell<Openings>>,
 }
--- a/agatetrestle/src/deployment/turns.rs
+++ b/agatetrestle/src/deployment/turns.rs
@@ -16,7 +16,7 @@
 
 use crate::clock::Clock;
 use crate::codec::decode;
-use crate::gateway::turn::Turns;
+use crate::gateway::turn::TurnClient;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
 use crate::ids::state_groups;
@@ -185,7 +185,7 @@
 /// The way of the gateway to the state groups.
 pub(super) struct TurnPort(pub(super) Rc<TurnRoute>);
 
-impl Turns for TurnPort {
+impl TurnClient for TurnPort {
     fn commit(&self, command: TurnCommand) -> LocalBoxFuture<'static, Result<TurnReply, GroupError>> {
         let route = self.0.clone();
         Box::pin(async move { route.commit(command).await })
--- a/agatetrestle/src/gateway/attempt.rs
+++ b/agatetrestle/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::job::Job;
 use crate::gateway::place::Place;
-use crate::gateway::wire::SendHead;
+use crate::gateway::wire::ForwardHead;
 use crate::node::peer_link::within;
 use crate::transport::client::Lease;
 use crate::transport::client::Reuse;
@@ -77,7 +77,7 @@
     place.silent_after = Some(sent_at + job.route.objective);
     let left = job.until.since(sent_at);
     let team = job.team.as_ref().map(|team| &*team.name);
-    let head = SendHead { left, instance: &instance, priority: job.server_rank(sent_at), team };
+    let head = ForwardHead { time_left: left, instance: &instance, priority: job.server_rank(sent_at), team };
     let request = request(gateway, job, head);
     let patience = if last { left } else { left.min(job.route.objective * NEXT_TRY_PERCENT / 100) };
     let answered = if job.route.is_streaming() {
@@ -157,7 +157,7 @@
     }
 }
 
-fn request(gateway: &Gateway, job: &Job, send: SendHead<'_>) -> Request<Full<Bytes>> {
+fn request(gateway: &Gateway, job: &Job, send: ForwardHead<'_>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.head.method.clone();
     // A caller may name the host in the target; the server is sent the path alone, as in any other request.
@@ -165,7 +165,7 @@
     *request.uri_mut() = path.map(Into::into).unwrap_or_default();
     let mut headers = job.head.headers.clone();
     drop_connection_headers(&mut headers);
-    gateway.wire.write_send(&mut headers, send);
+    gateway.wire.write_forwarded(&mut headers, send);
     *request.headers_mut() = headers;
     request
 }
@@ -198,7 +198,7 @@
 
 fn check(gateway: &Gateway, job: &Job, sent: Sent) -> Result<Sent, Failure> {
     let status = sent.response.status();
-    let head = gateway.wire.read_answer(sent.response.headers());
+    let head = gateway.wire.read_response(sent.response.headers());
     let server = sent.place.server;
     if let Some(load) = head.load {
         gateway.dispatch.borrow_mut().observe(gateway.clock.now(), server, load);
@@ -212,7 +212,7 @@
         sent.place.release(Outcome::Full);
         return Err(Failure::NotRun(format!("the server answered {status} without running it")));
     }
-    if head.attempt.as_ref() != Some(&job.attempt) {
+    if head.attempt_id.as_ref() != Some(&job.attempt) {
         sent.place.release(Outcome::Failed);
         return Err(Failure::MayHaveRun("the answer belongs to another request".into()));
     }
--- a/agatetrestle/src/gateway/intake.rs
+++ b/agatetrestle/src/gateway/intake.rs
@@ -21,11 +21,11 @@
 
 impl Held<'_> {
     fn grow(&mut self, bytes: usize) -> bool {
-        let left = self.gateway.body_room.get();
+        let left = self.gateway.body_buffer_bytes.get();
         if bytes > left {
             return false;
         }
-        self.gateway.body_room.set(left - bytes);
+        self.gateway.body_buffer_bytes.set(left - bytes);
         self.bytes += bytes;
         true
     }
@@ -33,7 +33,7 @@
 
 impl Drop for Held<'_> {
     fn drop(&mut self) {
-        self.gateway.body_room.set(self.gateway.body_room.get() + self.bytes);
+        self.gateway.body_buffer_bytes.set(self.gateway.body_buffer_bytes.get() + self.bytes);
     }
 }
 
--- a/agatetrestle/src/gateway/job.rs
+++ b/agatetrestle/src/gateway/job.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Timestamp;
 use crate::gateway::turn::Keeping;
-use crate::gateway::wire::CallHead;
+use crate::gateway::wire::RequestHead;
 use crate::routing::Route;
 use crate::routing::Team;
 
@@ -48,7 +48,7 @@
 /// A request with everything that the way to its answer needs.
 pub(super) struct Job {
     pub(super) head: Parts,
-    pub(super) call: CallHead,
+    pub(super) call: RequestHead,
     pub(super) attempt: Arc<str>,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
@@ -102,5 +102,5 @@
     let retention = job.route.retention?;
     let retention = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
     let text = job.body[job.chain..].to_vec();
-    Some(Keeping { previous: job.call.previous.clone(), retention, text })
+    Some(Keeping { previous: job.call.previous_turn.clone(), retention, text })
 }
--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -45,9 +45,9 @@
 use crate::dispatch::ServerKey;
 use crate::gateway::place::Found;
 use crate::gateway::place::TurnedAway;
-use crate::gateway::turn::Turns;
-use crate::gateway::wire::CallHead;
-use crate::gateway::wire::Wire;
+use crate::gateway::turn::TurnClient;
+use crate::gateway::wire::RequestHead;
+use crate::gateway::wire::WireFormat;
 use crate::ports::Recorder;
 use crate::routing::RouteTable;
 use crate::scheduler::random::Random;
@@ -67,9 +67,9 @@
 /// What a gateway is made of.
 pub struct GatewayParts {
     /// The wire of callers and backend servers.
-    pub wire: Rc<dyn Wire>,
+    pub wire: Rc<dyn WireFormat>,
     /// Turns and budgets.
-    pub turns: Rc<dyn Turns>,
+    pub turns: Rc<dyn TurnClient>,
     /// The decisions, with no backend server known.
     pub dispatch: Dispatch,
     /// Seed of the choices that are drawn by lot.
@@ -79,7 +79,7 @@
     /// Bounds on callers, which the table of routes sets.
     pub bounds: Rc<Bounds>,
     /// Bytes of bodies that may be held at once.
-    pub body_room: usize,
+    pub body_buffer_bytes: usize,
     /// Where counters and histograms go.
     pub recorder: Rc<dyn Recorder>,
     /// Where tasks run that outlive a request.
@@ -88,8 +88,8 @@
 
 /// The entry of a deployment.
 pub struct Gateway {
-    wire: Rc<dyn Wire>,
-    turns: Rc<dyn Turns>,
+    wire: Rc<dyn WireFormat>,
+    turns: Rc<dyn TurnClient>,
     table: RefCell<Option<Rc<RouteTable>>>,
     dispatch: RefCell<Dispatch>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Found>>>,
@@ -98,11 +98,11 @@
     clock: Clock,
     bounds: Rc<Bounds>,
     random: RefCell<Random>,
-    body_room: Cell<usize>,
+    body_buffer_bytes: Cell<usize>,
     in_flight: Cell<usize>,
     /// Programs of which a turn ended whole here, by when that was.
     programs: RefCell<HashMap<Arc<str>, Timestamp>>,
-    stopping: Cell<bool>,
+    draining: Cell<bool>,
     recorder: Rc<dyn Recorder>,
     executor: Rc<LocalExecutor<'static>>,
 }
@@ -111,8 +111,17 @@
     /// A gateway that knows no table and no backend server yet.
     #[must_use]
     pub fn new(parts: GatewayParts) -> Rc<Self> {
-        let GatewayParts { wire, turns, dispatch, seed, clock, bounds, body_room, recorder, executor } =
-            parts;
+        let GatewayParts {
+            wire,
+            turns,
+            dispatch,
+            seed,
+            clock,
+            bounds,
+            body_buffer_bytes,
+            recorder,
+            executor,
+        } = parts;
         Rc::new(Self {
             wire,
             turns,
@@ -124,10 +133,10 @@
             clock,
             bounds,
             random: RefCell::new(Random::new(seed)),
-            body_room: Cell::new(body_room),
+            body_buffer_bytes: Cell::new(body_buffer_bytes),
             in_flight: Cell::new(0),
             programs: RefCell::default(),
-            stopping: Cell::new(false),
+            draining: Cell::new(false),
             recorder,
             executor,
         })
@@ -153,21 +162,21 @@
     }
 
     /// Answers one request of a caller.
-    pub async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let _under_way = UnderWay::new(&self);
         request::answer(&self, request).await
     }
 
     /// Whether callers may be sent here: a table is in force, backend servers are known and no stop is planned.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let equipped = self.table.borrow().is_some() && self.dispatch.borrow().instances().next().is_some();
-        equipped && !self.stopping.get()
+        equipped && !self.draining.get()
     }
 
     /// Begins a planned stop: callers are asked to connect elsewhere, and every request is still served.
-    pub fn stop(&self) {
-        self.stopping.set(true);
+    pub fn start_draining(&self) {
+        self.draining.set(true);
     }
 
     /// Requests that are being answered.
@@ -184,7 +193,7 @@
     }
 
     /// Whether a turn of the request's program ended whole here lately.
-    fn has_seen(&self, call: &CallHead) -> bool {
+    fn has_seen(&self, call: &RequestHead) -> bool {
         call.program.as_ref().is_some_and(|program| self.programs.borrow().contains_key(program))
     }
 
--- a/agatetrestle/src/gateway/request.rs
+++ b/agatetrestle/src/gateway/request.rs
@@ -32,7 +32,7 @@
 use crate::gateway::trail::NO_STATUS;
 use crate::gateway::trail::Trail;
 use crate::gateway::turn::OpenTurn;
-use crate::gateway::wire::CallHead;
+use crate::gateway::wire::RequestHead;
 use crate::routing::Route;
 use crate::routing::RouteTable;
 use crate::routing::UnknownKey;
@@ -61,7 +61,7 @@
             write_problem(&problem)
         }
     };
-    if gateway.stopping.get() {
+    if gateway.draining.get() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
@@ -102,7 +102,7 @@
 ) -> Result<Response<AnswerBody>, Problem> {
     let (head, body) = request.into_parts();
     let call = read_head(gateway, &head)?;
-    let attempt = call.attempt.clone().unwrap_or_default();
+    let attempt = call.attempt_id.clone().unwrap_or_default();
     trail.attempt = attempt.clone();
     let table = gateway.table.borrow().clone();
     let table =
@@ -117,7 +117,7 @@
     if attempt.is_empty() {
         return Err(Problem::new(StatusCode::BAD_REQUEST, "the request has no id"));
     }
-    let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
+    let patience = call.timeout.unwrap_or(route.timeout).min(route.timeout);
     let until = arrived + patience;
     let limit = table.limits.body;
     let (_held, body) = read_body(gateway, body, limit, until).await?;
@@ -125,7 +125,7 @@
     let service = route.pick(draw).clone();
     trail.service = service.clone();
     // A call of a tool belongs to a program that has had a turn.
-    let begun = !route.is_streaming() || call.previous.is_some() || gateway.has_seen(&call);
+    let begun = !route.is_streaming() || call.previous_turn.is_some() || gateway.has_seen(&call);
     let declared = table.service(&service).and_then(|service| service.tokens_per_event);
     let tokens_per_event = declared.unwrap_or(1);
     let job = Job {
@@ -145,11 +145,11 @@
     run(gateway, job, trail).await
 }
 
-fn read_head(gateway: &Gateway, head: &Parts) -> Result<CallHead, Problem> {
+fn read_head(gateway: &Gateway, head: &Parts) -> Result<RequestHead, Problem> {
     if head.headers.get_all(HOST).iter().count() > 1 {
         return Err(Problem::new(StatusCode::BAD_REQUEST, "the request can be read in two ways"));
     }
-    let call = gateway.wire.read_call(&head.headers);
+    let call = gateway.wire.read_request(&head.headers);
     call.map_err(|failure| Problem::new(StatusCode::BAD_REQUEST, failure))
 }
 
@@ -261,7 +261,7 @@
         patience: job.route.objective / PATIENCE_DIVISOR,
         deadline: job.until,
         finish_by: job.arrived + finish_in,
-        affinity: job.call.line.filter(|_| job.route.sticky),
+        affinity: job.call.affinity.filter(|_| job.route.sticky),
         avoid: avoid.to_vec(),
     }
 }
--- a/agatetrestle/src/gateway/reserve.rs
+++ b/agatetrestle/src/gateway/reserve.rs
@@ -21,7 +21,7 @@
 
 /// Whether the state group has to know of a request: it spends from a budget or goes on from a turn.
 pub(super) fn needs_turn(job: &Job) -> bool {
-    let counted = job.call.budget.is_some() || job.route.retention.is_some();
+    let counted = job.call.token_budget.is_some() || job.route.retention.is_some();
     job.route.is_streaming() && job.call.program.is_some() && counted
 }
 
@@ -61,9 +61,9 @@
         program: job.call.program.clone().unwrap_or_default(),
         team: job.team_name(),
         turn: job.attempt.clone(),
-        budget: job.call.budget,
-        most: job.call.most_tokens.unwrap_or(0),
-        previous: job.call.previous.clone().filter(|_| job.route.retention.is_some()),
+        budget: job.call.token_budget,
+        most: job.call.max_tokens.unwrap_or(0),
+        previous: job.call.previous_turn.clone().filter(|_| job.route.retention.is_some()),
         carried: Vec::new(),
         opening: Some(opening),
     };
--- a/agatetrestle/src/gateway/tests.rs
+++ b/agatetrestle/src/gateway/tests.rs
@@ -9,7 +9,7 @@
 use crate::clock::Timestamp;
 use crate::gateway::events::EventReader;
 use crate::gateway::job::Job;
-use crate::gateway::wire::CallHead;
+use crate::gateway::wire::RequestHead;
 use crate::routing::Route;
 use crate::routing::RouteKind;
 use crate::routing::Team;
@@ -79,7 +79,7 @@
         team.map(|priority| Arc::new(Team { name: "t".into(), keys: Vec::new(), priority, allowance: None }));
     Job {
         head: http::Request::new(()).into_parts().0,
-        call: CallHead { finish_in: left.map(Duration::from_millis), ..CallHead::default() },
+        call: RequestHead { finish_in: left.map(Duration::from_millis), ..RequestHead::default() },
         attempt: "a".into(),
         route: Arc::new(route),
         service: "s".into(),
--- a/agatetrestle/src/gateway/turn.rs
+++ b/agatetrestle/src/gateway/turn.rs
@@ -18,7 +18,7 @@
 use crate::turns::command::TurnReply;
 
 /// The state group as a gateway sees it.
-pub trait Turns {
+pub trait TurnClient {
     /// Commits a command and returns its reply.
     fn commit(&self, command: TurnCommand) -> LocalBoxFuture<'static, Result<TurnReply, GroupError>>;
 }
