--- a/agatetrestle/src/deployment/entry.rs
+++ b/agatetrestle/src/deployment/entry.rs
@@ -99,7 +99,7 @@
         wire: frame.wire.clone(),
         turns: Rc::new(TurnPort(turns.clone())),
         dispatch: Dispatch::new(frame.settings.process.failure_domain.clone(), frame.node.0)
-            .with_rules(frame.settings.decisions),
+            .with_policy(frame.settings.decisions),
         seed: frame.node.0,
         clock: frame.clock,
         bounds: bounds.clone(),
--- a/agatetrestle/src/dispatch/choice.rs
+++ b/agatetrestle/src/dispatch/choice.rs
@@ -42,7 +42,7 @@
         let memory = mean.clamp(MEMORY.0, MEMORY.1);
         let usual = self.usual_others(now, &request.service, memory);
         let able = |key: &ServerKey, server: &Server| {
-            server.serves(&request.service) && server.usable(now) && !request.avoid.contains(key)
+            server.serves(&request.service) && server.usable(now) && !request.excluded.contains(key)
         };
         let trusted = self.servers.iter().any(|(key, server)| able(&key, server) && !server.is_out(now));
         let open = self.servers.iter().filter(|(key, server)| {
--- a/agatetrestle/src/dispatch/decision.rs
+++ b/agatetrestle/src/dispatch/decision.rs
@@ -17,9 +17,9 @@
     /// 0 for the most urgent.
     pub priority: u8,
     /// Whether its program has begun, so that turning it away wastes what was done.
-    pub begun: bool,
+    pub started: bool,
     /// Longest wait that is better than to be told to come back; for a program that has not begun.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// When its answer is no longer of use.
     pub deadline: Timestamp,
     /// When its program should be finished; the least time left goes first.
@@ -27,7 +27,7 @@
     /// What requests have in common that share a prompt; none where that does not matter.
     pub affinity: Option<u64>,
     /// Servers that must not get it, since they had it before.
-    pub avoid: Vec<ServerKey>,
+    pub excluded: Vec<ServerKey>,
 }
 
 /// What becomes of a request.
@@ -41,16 +41,16 @@
         server: ServerKey,
     },
     /// A server gets nothing for a while, since it fails more often than the others.
-    Suspect {
+    Eject {
         /// The server.
         server: ServerKey,
         /// When it is tried again.
         until: Timestamp,
         /// How often requests fail at servers of its service against which nothing speaks.
-        usual: f64,
+        failure_rate: f64,
     },
     /// The life of a server behind an address is over: a connection that was kept for it is of no use.
-    Forget {
+    DropConnections {
         /// The address, which another server may have by now.
         address: SocketAddrV4,
     },
@@ -61,13 +61,13 @@
         /// When it is worth coming back.
         retry_after: Duration,
         /// Why.
-        reason: Reason,
+        reason: RejectReason,
     },
 }
 
 /// Why a request is turned away.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reason {
+pub enum RejectReason {
     /// No server of the service takes requests.
     NoServer,
     /// It would not be answered in time.
--- a/agatetrestle/src/dispatch/mod.rs
+++ b/agatetrestle/src/dispatch/mod.rs
@@ -12,12 +12,12 @@
 mod tests;
 
 pub use self::decision::Decision;
-pub use self::decision::Reason;
+pub use self::decision::RejectReason;
 pub use self::decision::Request;
 pub use self::server::Instance;
-pub use self::server::Load;
-pub use self::server::Outcome;
+pub use self::server::RequestOutcome;
 pub use self::server::ServerKey;
+pub use self::server::ServerLoad;
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -104,7 +104,7 @@
 
     /// The same node with a baseline in place of one of its decisions, for comparisons.
     #[must_use]
-    pub fn with_rules(self, rules: Decisions) -> Self {
+    pub fn with_policy(self, rules: Decisions) -> Self {
         Self { rules, ..self }
     }
 
@@ -127,7 +127,7 @@
     fn list(&mut self, instance: &Instance) {
         let known = self.by_id.get(&instance.id).copied();
         match known.and_then(|key| self.servers.get_mut(key)) {
-            Some(server) if !instance.succeeds(&server.instance) => server.update(instance),
+            Some(server) if !instance.is_newer_than(&server.instance) => server.update(instance),
             _ => {
                 let key = self.servers.insert(Server::new(instance));
                 self.by_id.insert(instance.id.clone(), key);
@@ -141,7 +141,7 @@
         let by_id = &mut self.by_id;
         self.servers.retain(|key, server| {
             if !server.listed && !std::mem::replace(&mut server.ended, true) {
-                ended.push(Decision::Forget { address: server.instance.address });
+                ended.push(Decision::DropConnections { address: server.instance.address });
             }
             let stays = server.listed || server.running > 0;
             if !stays && by_id.get(&server.instance.id) == Some(&key) {
@@ -164,13 +164,13 @@
     }
 
     /// The keys of all known instances.
-    pub fn keys(&self) -> impl Iterator<Item = (ServerKey, &Instance)> {
+    pub fn instances_by_key(&self) -> impl Iterator<Item = (ServerKey, &Instance)> {
         self.servers.iter().map(|(key, server)| (key, &server.instance))
     }
 
     /// Requests that the servers of a service run at once, of those that take any.
     #[must_use]
-    pub fn places(&self, service: &Arc<str>) -> u32 {
+    pub fn total_slots(&self, service: &Arc<str>) -> u32 {
         let taking = |server: &&Server| server.listed && !server.instance.leaving && server.serves(service);
         self.servers.values().filter(taking).map(|server| server.instance.slots).sum()
     }
@@ -184,41 +184,41 @@
     /// Takes in a request: it is sent, turned away at once, or waits for a later decision.
     pub fn submit(&mut self, now: Timestamp, request: Request) -> Vec<Decision> {
         let service = request.service.clone();
-        let served = self.ready_in(now, &service, &request.avoid).is_some();
+        let served = self.ready_in(now, &service, &request.excluded).is_some();
         let queue = self.queues.entry(service.clone()).or_default();
         let ticket = request.ticket;
         let retry_after = queue.mean.clamp(RETRY_AFTER.0, RETRY_AFTER.1);
         if !served {
-            return vec![Decision::Reject { ticket, retry_after, reason: Reason::NoServer }];
+            return vec![Decision::Reject { ticket, retry_after, reason: RejectReason::NoServer }];
         }
         if queue.waiting.len() >= QUEUE_LIMIT {
-            return vec![Decision::Reject { ticket, retry_after, reason: Reason::QueueFull }];
+            return vec![Decision::Reject { ticket, retry_after, reason: RejectReason::QueueFull }];
         }
         let lost = request.finish_by < now + queue.mean;
         let rank = match self.rules {
             Decisions::FirstCome => (false, 0, false, Timestamp(0), ticket),
-            _ => (lost, request.priority, !request.begun, request.finish_by, ticket),
+            _ => (lost, request.priority, !request.started, request.finish_by, ticket),
         };
         queue.waiting.insert(rank, request);
         self.pass(now, &service, Some(ticket))
     }
 
     /// Drops a request whose caller is gone.
-    pub fn withdraw(&mut self, ticket: u64) {
+    pub fn cancel(&mut self, ticket: u64) {
         for queue in self.queues.values_mut() {
             queue.waiting.retain(|_, request| request.ticket != ticket);
         }
     }
 
     /// Takes in what the head of an answer tells of a server's load.
-    pub fn observe(&mut self, now: Timestamp, key: ServerKey, load: Load) {
+    pub fn record_load(&mut self, now: Timestamp, key: ServerKey, load: ServerLoad) {
         if let Some(server) = self.servers.get_mut(key) {
             server.observe(now, load);
         }
     }
 
     /// Takes in that the answer to a request begins.
-    pub fn begins(&mut self, now: Timestamp, service: &Arc<str>, sent: Timestamp) {
+    pub fn record_response_start(&mut self, now: Timestamp, service: &Arc<str>, sent: Timestamp) {
         if let Some(queue) = self.queues.get_mut(service) {
             queue.beginnings.note(sent, now);
         }
@@ -227,34 +227,41 @@
     /// Whether the answer to a request that was sent then is missing in a way that tells of its server, not of the
     /// service; `least` is what any may take.
     #[must_use]
-    pub fn is_silent(&self, now: Timestamp, service: &Arc<str>, sent: Timestamp, least: Duration) -> bool {
+    pub fn is_unresponsive(
+        &self,
+        now: Timestamp,
+        service: &Arc<str>,
+        sent: Timestamp,
+        least: Duration,
+    ) -> bool {
         self.rules != Decisions::Patient
             && self.queues.get(service).is_some_and(|queue| queue.beginnings.miss(sent, now, least))
     }
 
     /// Takes in that a server said it leaves or is another one.
-    pub fn leaving(&mut self, key: ServerKey) {
+    pub fn mark_leaving(&mut self, key: ServerKey) {
         if let Some(server) = self.servers.get_mut(key) {
             server.instance.leaving = true;
         }
     }
 
     /// Takes in that a request is no longer in service.
-    pub fn finish(&mut self, now: Timestamp, key: ServerKey, outcome: Outcome) -> Vec<Decision> {
+    pub fn finish(&mut self, now: Timestamp, key: ServerKey, outcome: RequestOutcome) -> Vec<Decision> {
         let Some(server) = self.servers.get_mut(key) else {
             return Vec::new();
         };
         let service = server.instance.service.clone();
         server.finish(now, outcome);
         let queue = self.queues.entry(service.clone()).or_default();
-        if let Outcome::Whole(took) = outcome {
+        if let RequestOutcome::Completed(took) = outcome {
             queue.mean = (queue.mean * (MEAN_WEIGHT - 1) + took) / MEAN_WEIGHT;
         }
         if let Some(failed) = server.weigh(now, outcome, queue.risk.of(ANY_SIZE)) {
             queue.risk.learn(ANY_SIZE, failed);
         }
         let usual = queue.risk.of(ANY_SIZE);
-        let suspected = self.suspect(now, key).map(|until| Decision::Suspect { server: key, until, usual });
+        let suspected =
+            self.suspect(now, key).map(|until| Decision::Eject { server: key, until, failure_rate: usual });
         let mut decisions: Vec<Decision> = suspected.into_iter().collect();
         decisions.extend(self.pass(now, &service, None));
         decisions
@@ -290,18 +297,18 @@
         let mut left = BTreeMap::new();
         while let Some((rank, request)) = queue.waiting.pop_first() {
             if request.deadline <= now {
-                decisions.push(reject(&request, queue.mean, Reason::TooLate));
+                decisions.push(reject(&request, queue.mean, RejectReason::TooLate));
                 continue;
             }
             match self.choose(now, &request, queue.mean) {
                 Some(server) if self.comes_too_late(now, server, &request, queue.mean) => {
-                    decisions.push(reject(&request, queue.mean, Reason::TooLate));
+                    decisions.push(reject(&request, queue.mean, RejectReason::TooLate));
                 }
                 Some(server) => {
                     self.servers[server].running += 1;
                     decisions.push(Decision::Send { ticket: request.ticket, server });
                 }
-                None if request.avoid.is_empty() => {
+                None if request.excluded.is_empty() => {
                     left.insert(rank, request);
                     left.append(&mut queue.waiting);
                 }
@@ -340,10 +347,10 @@
         let mut decisions = Vec::new();
         let mut ahead = 0_u32;
         queue.waiting.retain(|_, request| {
-            let retried = !request.avoid.is_empty();
-            let ready = if retried { self.ready_in(now, service, &request.avoid) } else { ready };
+            let retried = !request.excluded.is_empty();
+            let ready = if retried { self.ready_in(now, service, &request.excluded) } else { ready };
             let Some(rest) = ready else {
-                decisions.push(reject(request, queue.mean, Reason::NoServer));
+                decisions.push(reject(request, queue.mean, RejectReason::NoServer));
                 return false;
             };
             let turn = queue.mean * (ahead + 1) / places;
@@ -351,12 +358,12 @@
             let newcomer = Some(request.ticket) == newcomer;
             let expected = if newcomer { wait } else { rest + turn / 2 };
             let in_time = now + expected + queue.mean <= request.deadline;
-            let worth_waiting = request.begun || !newcomer || wait <= request.patience;
+            let worth_waiting = request.started || !newcomer || wait <= request.max_wait;
             if in_time && worth_waiting {
                 ahead += 1;
                 return true;
             }
-            decisions.push(reject(request, wait, Reason::TooLate));
+            decisions.push(reject(request, wait, RejectReason::TooLate));
             false
         });
         decisions
@@ -376,7 +383,7 @@
     }
 }
 
-fn reject(request: &Request, wait: Duration, reason: Reason) -> Decision {
+fn reject(request: &Request, wait: Duration, reason: RejectReason) -> Decision {
     let retry_after = wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1);
     Decision::Reject { ticket: request.ticket, retry_after, reason }
 }
--- a/agatetrestle/src/dispatch/server.rs
+++ b/agatetrestle/src/dispatch/server.rs
@@ -56,14 +56,14 @@
 impl Instance {
     /// Whether this is a later life than another one under the same id. A list that lags may name an earlier one.
     #[must_use]
-    pub fn succeeds(&self, other: &Self) -> bool {
+    pub fn is_newer_than(&self, other: &Self) -> bool {
         self.born > other.born
     }
 }
 
 /// What an answer tells of a server's load, by all nodes together.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Load {
+pub struct ServerLoad {
     /// Requests in service.
     pub running: u32,
     /// Requests that wait inside the server.
@@ -72,21 +72,21 @@
 
 /// How a request at a server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// Whole, in this time.
-    Whole(Duration),
+    Completed(Duration),
     /// Whole, but it says that the server has failed.
-    Error(Duration),
+    ServerError(Duration),
     /// The caller gave up after the server had said nothing for longer than such a request should take.
-    Silent,
+    Unresponsive,
     /// No connection could be made.
     Unreachable,
     /// The server said that it has no room.
     Full,
     /// It broke off or answered what is no answer.
-    Failed,
+    BadResponse,
     /// The caller went away, or the node gave up for a reason of its own.
-    Abandoned,
+    Cancelled,
 }
 
 /// A server with all that this node knows of it.
@@ -129,7 +129,7 @@
     pub(super) fn update(&mut self, instance: &Instance) {
         self.listed = true;
         self.ended = false;
-        if self.instance.succeeds(instance) && instance.born.is_some() {
+        if self.instance.is_newer_than(instance) && instance.born.is_some() {
             // The list lags and names a life that is over.
             return;
         }
@@ -187,36 +187,38 @@
             .then_some(self.others)
     }
 
-    pub(super) fn observe(&mut self, now: Timestamp, load: Load) {
+    pub(super) fn observe(&mut self, now: Timestamp, load: ServerLoad) {
         let told = f64::from(load.running.saturating_add(load.waiting));
         self.others = (told - f64::from(self.running)).max(0.0);
         self.observed_at = now;
     }
 
-    pub(super) fn finish(&mut self, now: Timestamp, outcome: Outcome) {
+    pub(super) fn finish(&mut self, now: Timestamp, outcome: RequestOutcome) {
         self.running = self.running.saturating_sub(1);
         match outcome {
-            Outcome::Whole(_) | Outcome::Error(_) => {
+            RequestOutcome::Completed(_) | RequestOutcome::ServerError(_) => {
                 self.failures = 0;
                 self.answered_at = Some(now);
             }
-            Outcome::Abandoned | Outcome::Silent => {}
-            Outcome::Full => self.rests_until = now + REST / 4,
-            Outcome::Unreachable => self.rest(now, 0),
-            Outcome::Failed => self.rest(now, CHANCE_FAILURES),
+            RequestOutcome::Cancelled | RequestOutcome::Unresponsive => {}
+            RequestOutcome::Full => self.rests_until = now + REST / 4,
+            RequestOutcome::Unreachable => self.rest(now, 0),
+            RequestOutcome::BadResponse => self.rest(now, CHANCE_FAILURES),
         }
     }
 
     /// Weighs an outcome against what is usual in the pool; whether it tells of the usual itself.
-    pub(super) fn weigh(&mut self, now: Timestamp, outcome: Outcome, risk: f64) -> Option<bool> {
+    pub(super) fn weigh(&mut self, now: Timestamp, outcome: RequestOutcome, risk: f64) -> Option<bool> {
         if self.is_out(now) {
             // It was sent before the server was taken out, so it says nothing that was not known then.
             return None;
         }
         let failed = match outcome {
-            Outcome::Whole(_) => false,
-            Outcome::Error(_) | Outcome::Failed | Outcome::Silent => true,
-            Outcome::Abandoned | Outcome::Full | Outcome::Unreachable => return None,
+            RequestOutcome::Completed(_) => false,
+            RequestOutcome::ServerError(_) | RequestOutcome::BadResponse | RequestOutcome::Unresponsive => {
+                true
+            }
+            RequestOutcome::Cancelled | RequestOutcome::Full | RequestOutcome::Unreachable => return None,
         };
         self.suspicion.record(failed, risk);
         self.suspicion.is_calm().then_some(failed)
--- a/agatetrestle/src/dispatch/tests.rs
+++ b/agatetrestle/src/dispatch/tests.rs
@@ -37,19 +37,19 @@
         ticket,
         service: SERVICE.into(),
         priority: 1,
-        begun: false,
-        patience: Duration::from_secs(10),
+        started: false,
+        max_wait: Duration::from_secs(10),
         deadline: at(deadline),
         finish_by: at(deadline),
         affinity: None,
-        avoid: Vec::new(),
+        excluded: Vec::new(),
     }
 }
 
 fn sent(decisions: &[Decision]) -> Vec<u64> {
     let sent = |decision: &Decision| match decision {
         Decision::Send { ticket, .. } => Some(*ticket),
-        Decision::Forget { .. } | Decision::Reject { .. } | Decision::Suspect { .. } => None,
+        Decision::DropConnections { .. } | Decision::Reject { .. } | Decision::Eject { .. } => None,
     };
     decisions.iter().filter_map(sent).collect()
 }
@@ -61,7 +61,7 @@
     }
 }
 
-const WHOLE: Outcome = Outcome::Whole(Duration::from_millis(100));
+const WHOLE: RequestOutcome = RequestOutcome::Completed(Duration::from_millis(100));
 
 #[test]
 fn requests_spread_over_the_servers_and_then_wait() {
@@ -81,7 +81,7 @@
     dispatch.submit(at(0), request(10, 9_000));
     dispatch.submit(at(0), request(1, 9_000));
     dispatch.submit(at(0), request(2, 8_000));
-    dispatch.submit(at(0), Request { begun: true, ..request(3, 9_500) });
+    dispatch.submit(at(0), Request { started: true, ..request(3, 9_500) });
     dispatch.submit(at(0), Request { priority: 0, ..request(4, 9_900) });
     let mut order = Vec::new();
     for step in 1..=4 {
@@ -96,7 +96,7 @@
     dispatch.submit(at(0), request(0, 4_000));
     let decisions = dispatch.submit(at(0), request(1, 150));
     assert!(
-        matches!(decisions[..], [Decision::Reject { ticket: 1, reason: Reason::TooLate, .. }]),
+        matches!(decisions[..], [Decision::Reject { ticket: 1, reason: RejectReason::TooLate, .. }]),
         "{decisions:?}"
     );
 }
@@ -116,7 +116,7 @@
                     assert_eq!(now, 0, "a request is turned away when it comes, not while it waits");
                     turned_away += 1;
                 }
-                Decision::Forget { .. } | Decision::Suspect { .. } => panic!("no server failed"),
+                Decision::DropConnections { .. } | Decision::Eject { .. } => panic!("no server failed"),
             }
         }
     };
@@ -140,17 +140,17 @@
 fn a_leaving_server_gets_nothing_even_if_a_lagging_list_calls_it_ready() {
     let mut dispatch = dispatch(&[instance("x", 4, "a")]);
     let server = server_of(&dispatch.submit(at(0), request(0, 4_000)));
-    dispatch.leaving(server);
+    dispatch.mark_leaving(server);
     dispatch.replace_instances(at(1), &[instance("x", 4, "a")]);
     let decisions = dispatch.submit(at(1), request(1, 4_000));
-    assert!(matches!(decisions[..], [Decision::Reject { reason: Reason::NoServer, .. }]));
+    assert!(matches!(decisions[..], [Decision::Reject { reason: RejectReason::NoServer, .. }]));
 }
 
 #[test]
 fn an_unreachable_server_rests_and_its_requests_wait_for_it_if_it_is_the_only_one() {
     let mut dispatch = dispatch(&[instance("x", 4, "a")]);
     let server = server_of(&dispatch.submit(at(0), request(0, 4_000)));
-    dispatch.finish(at(1), server, Outcome::Unreachable);
+    dispatch.finish(at(1), server, RequestOutcome::Unreachable);
     assert_eq!(dispatch.submit(at(2), request(1, 4_000)), []);
     assert_eq!(sent(&dispatch.tick(at(300))), [1]);
 }
@@ -159,7 +159,7 @@
 fn a_server_that_is_busy_with_the_requests_of_other_nodes_is_left_alone() {
     let mut dispatch = dispatch(&[instance("x", 4, "a"), instance("y", 4, "a")]);
     let first = server_of(&dispatch.submit(at(0), request(0, 4_000)));
-    dispatch.observe(at(0), first, Load { running: 4, waiting: 1 });
+    dispatch.record_load(at(0), first, ServerLoad { running: 4, waiting: 1 });
     for ticket in 1..4 {
         assert_ne!(server_of(&dispatch.submit(at(1), request(ticket, 4_000))), first);
     }
@@ -184,7 +184,7 @@
     let mut dispatch = dispatch(&[instance("x", 1, "a")]);
     let server = server_of(&dispatch.submit(at(0), request(0, 9_000)));
     dispatch.submit(at(0), request(10, 9_000));
-    let lost = Request { finish_by: at(1), priority: 0, begun: true, ..request(1, 9_000) };
+    let lost = Request { finish_by: at(1), priority: 0, started: true, ..request(1, 9_000) };
     dispatch.submit(at(10), lost);
     dispatch.submit(at(10), request(2, 9_000));
     assert_eq!(sent(&dispatch.finish(at(20), server, WHOLE)), [2]);
@@ -197,16 +197,16 @@
     for ticket in 10..14 {
         dispatch.submit(at(0), request(ticket, 9_000));
     }
-    let patience = Duration::from_millis(100);
+    let max_wait = Duration::from_millis(100);
     for ticket in 2..6 {
-        let begun = Request { begun: true, patience, ..request(ticket, 9_000) };
+        let begun = Request { started: true, max_wait, ..request(ticket, 9_000) };
         assert_eq!(dispatch.submit(at(1), begun), []);
     }
-    let decisions = dispatch.submit(at(1), Request { patience, ..request(6, 9_000) });
+    let decisions = dispatch.submit(at(1), Request { max_wait, ..request(6, 9_000) });
     let [Decision::Reject { ticket: 6, retry_after, .. }] = decisions[..] else {
         panic!("not turned away: {decisions:?}");
     };
-    assert!(retry_after > patience, "it comes back when a place is expected, not before");
+    assert!(retry_after > max_wait, "it comes back when a place is expected, not before");
     assert_eq!(dispatch.waiting(), 4);
 }
 
@@ -220,10 +220,10 @@
         servers.push(server_of(&dispatch.submit(at(0), request(ticket, 9_000))));
     }
     for server in &servers {
-        dispatch.observe(at(0), *server, Load { running: 7, waiting: 0 });
+        dispatch.record_load(at(0), *server, ServerLoad { running: 7, waiting: 0 });
     }
     for server in &servers[..2] {
-        dispatch.observe(at(1_000), *server, Load { running: 7, waiting: 0 });
+        dispatch.record_load(at(1_000), *server, ServerLoad { running: 7, waiting: 0 });
     }
     let mut to_third = 0;
     for ticket in 10..16 {
@@ -253,7 +253,7 @@
 
 /// Sends one request each 100 ms to ten servers, of which some fail a share of theirs, and returns how many failed in
 /// each half of the time.
-fn failures(bad: usize, share: u64, outcome: Outcome) -> [usize; 2] {
+fn failures(bad: usize, share: u64, outcome: RequestOutcome) -> [usize; 2] {
     let instances: Vec<Instance> = (0..10).map(|number| instance(&format!("s-{number}"), 6, "a")).collect();
     let mut dispatch = dispatch(&instances);
     let mut rng = Random::new(5);
@@ -273,7 +273,11 @@
 
 #[test]
 fn servers_that_fail_in_part_are_found_by_their_outcomes() {
-    for outcome in [Outcome::Failed, Outcome::Error(Duration::from_millis(3)), Outcome::Silent] {
+    for outcome in [
+        RequestOutcome::BadResponse,
+        RequestOutcome::ServerError(Duration::from_millis(3)),
+        RequestOutcome::Unresponsive,
+    ] {
         let [first, then] = failures(2, 40, outcome);
         assert!(first <= 14 && then <= 8, "{outcome:?}: {first} and {then}; 19 each without a test");
     }
@@ -286,7 +290,7 @@
     for number in 0..300_u64 {
         let now = at(number * 100);
         let key = server_of(&dispatch.submit(now, request(number, number * 100 + 4_000)));
-        let outcome = if number % 50 == 49 { Outcome::Failed } else { WHOLE };
+        let outcome = if number % 50 == 49 { RequestOutcome::BadResponse } else { WHOLE };
         suspected.extend(dispatch.finish(now, key, outcome));
     }
     assert!(suspected.is_empty(), "{suspected:?}");
@@ -295,23 +299,22 @@
         (0..18).map(|ticket| server_of(&dispatch.submit(now, request(1_000 + ticket, 60_000)))).collect();
     let worst = sent[0];
     for key in sent.into_iter().filter(|key| *key == worst) {
-        let decisions = dispatch.finish(now, key, Outcome::Silent);
-        suspected
-            .extend(decisions.into_iter().filter(|decision| matches!(decision, Decision::Suspect { .. })));
+        let decisions = dispatch.finish(now, key, RequestOutcome::Unresponsive);
+        suspected.extend(decisions.into_iter().filter(|decision| matches!(decision, Decision::Eject { .. })));
     }
-    let Some(Decision::Suspect { until, .. }) = suspected.first() else { panic!("it was not suspected") };
+    let Some(Decision::Eject { until, .. }) = suspected.first() else { panic!("it was not suspected") };
     assert_eq!((suspected.len(), *until), (1, at(42_000)), "six failures of one moment are one alarm");
 }
 
 #[test]
 fn a_fault_that_all_servers_share_leaves_most_in_use() {
-    let [first, then] = failures(10, 40, Outcome::Silent);
+    let [first, then] = failures(10, 40, RequestOutcome::Unresponsive);
     assert!(first + then > 100, "requests were sent all the time: {first} and {then}");
 }
 
 /// Sends five requests to two servers with one place each, which are full, under some rules.
 fn under(rules: Decisions) -> (Vec<u64>, Vec<Arc<str>>, usize) {
-    let mut dispatch = Dispatch::new("a".into(), 1).with_rules(rules);
+    let mut dispatch = Dispatch::new("a".into(), 1).with_policy(rules);
     dispatch.replace_instances(at(0), &[instance("x", 1, "a"), instance("y", 1, "a")]);
     let full = if rules == Decisions::Places { 0 } else { 2 };
     let mut decisions = Vec::new();
@@ -349,7 +352,7 @@
     let home = |rules: Decisions| {
         let instances: Vec<Instance> =
             (0..8).map(|number| instance(&format!("s-{number}"), 8, "a")).collect();
-        let mut dispatch = Dispatch::new("a".into(), 1).with_rules(rules);
+        let mut dispatch = Dispatch::new("a".into(), 1).with_policy(rules);
         dispatch.replace_instances(at(0), &instances);
         let keys = (0..6).map(|ticket| {
             server_of(&dispatch.submit(at(0), Request { affinity: Some(9), ..request(ticket, 4_000) }))
@@ -366,12 +369,12 @@
     let sent: Vec<ServerKey> = sent.collect();
     let first = sent[0];
     for key in sent.iter().filter(|key| **key == first) {
-        dispatch.finish(at(0), *key, Outcome::Silent);
+        dispatch.finish(at(0), *key, RequestOutcome::Unresponsive);
     }
     let server = &dispatch.servers[first];
     assert_eq!([server.is_out(at(1_000)), server.is_out(at(2_000))], [true, false]);
     dispatch.submit(at(3_000), request(20, 9_000));
-    dispatch.finish(at(3_000), first, Outcome::Unreachable);
+    dispatch.finish(at(3_000), first, RequestOutcome::Unreachable);
     let server = &dispatch.servers[first];
     assert!(!server.usable(at(3_100)) && !server.is_out(at(3_100)), "it rests for a moment's failure");
 }
@@ -384,16 +387,16 @@
     let suspected = sent[0];
     let other = *sent.iter().find(|key| **key != suspected).unwrap();
     for key in sent.iter().filter(|key| **key == suspected) {
-        dispatch.finish(at(0), *key, Outcome::Silent);
+        dispatch.finish(at(0), *key, RequestOutcome::Unresponsive);
     }
     assert!(
         dispatch.submit(at(1), request(20, 4_000)).is_empty(),
         "the other is full, and worth waiting for"
     );
-    dispatch.withdraw(20);
-    let again = Request { avoid: vec![other], ..request(21, 4_000) };
+    dispatch.cancel(20);
+    let again = Request { excluded: vec![other], ..request(21, 4_000) };
     assert_eq!(server_of(&dispatch.submit(at(1), again)), suspected, "the other has had it");
-    dispatch.finish(at(1), other, Outcome::Unreachable);
+    dispatch.finish(at(1), other, RequestOutcome::Unreachable);
     assert_eq!(server_of(&dispatch.submit(at(2), request(22, 4_000))), suspected, "the other rests");
 }
 
@@ -402,13 +405,13 @@
     let mut dispatch = dispatch(&[instance("x", 6, "a")]);
     for ticket in 0..4 {
         let key = server_of(&dispatch.submit(at(ticket * 1_000), request(ticket, 60_000)));
-        dispatch.finish(at(ticket * 1_000), key, Outcome::Unreachable);
+        dispatch.finish(at(ticket * 1_000), key, RequestOutcome::Unreachable);
         dispatch.tick(at(ticket * 1_000 + 999));
     }
     // It rests for 2 s now.
     let decisions = dispatch.submit(at(3_000), request(10, 4_500));
     let [Decision::Reject { retry_after, reason, .. }] = decisions[..] else { panic!("{decisions:?}") };
-    assert_eq!(reason, Reason::TooLate);
+    assert_eq!(reason, RejectReason::TooLate);
     assert!(retry_after >= Duration::from_millis(1_800), "{retry_after:?} is when a server may be back");
     assert!(dispatch.submit(at(3_000), request(11, 9_000)).is_empty(), "this one has time to wait");
 }
@@ -422,18 +425,18 @@
     let mut dispatch = dispatch(&[life("x", 1_000)]);
     let first = server_of(&dispatch.submit(at(0), request(0, 9_000)));
     let under_way = server_of(&dispatch.submit(at(0), request(1, 9_000)));
-    dispatch.observe(at(1), first, Load { running: 6, waiting: 4 });
+    dispatch.record_load(at(1), first, ServerLoad { running: 6, waiting: 4 });
     dispatch.finish(at(1), first, WHOLE);
-    dispatch.leaving(first);
+    dispatch.mark_leaving(first);
     assert_eq!(dispatch.replace_instances(at(2), &[life("x", 1_000)]), [], "the same life");
     let decisions = dispatch.replace_instances(at(3), &[life("x", 2_000)]);
-    assert_eq!(decisions, [Decision::Forget { address: "10.0.0.1:80".parse().unwrap() }]);
+    assert_eq!(decisions, [Decision::DropConnections { address: "10.0.0.1:80".parse().unwrap() }]);
     let second = server_of(&dispatch.submit(at(3), request(2, 9_000)));
     assert_ne!(second, first, "it leaves no longer, and its old load is void");
     let server = &dispatch.servers[second];
     assert!(server.running == 1 && !server.is_warm(at(3)) && !server.is_out(at(3)));
     assert_eq!(
-        dispatch.finish(at(4), under_way, Outcome::Failed),
+        dispatch.finish(at(4), under_way, RequestOutcome::BadResponse),
         [],
         "what the earlier life does is its own"
     );
@@ -466,7 +469,7 @@
     let under_way = server_of(&dispatch.submit(at(0), request(0, 9_000)));
     let gone = dispatch.instance(under_way).unwrap().clone();
     let other = if &*gone.id == "x" { life("y", 1_000) } else { life("x", 1_000) };
-    let forget = [Decision::Forget { address: gone.address }];
+    let forget = [Decision::DropConnections { address: gone.address }];
     assert_eq!(dispatch.replace_instances(at(1), std::slice::from_ref(&other)), forget);
     assert_eq!(dispatch.replace_instances(at(2), &[other]), []);
 }
--- a/agatetrestle/src/dispatch/tests/pool.rs
+++ b/agatetrestle/src/dispatch/tests/pool.rs
@@ -97,7 +97,7 @@
         load,
     };
     for number in 0..world.load.nodes {
-        let mut node = Dispatch::new("a".into(), seed ^ number as u64).with_rules(rules);
+        let mut node = Dispatch::new("a".into(), seed ^ number as u64).with_policy(rules);
         node.replace_instances(Timestamp(0), &instances);
         let by_id = |instance: &Instance| node.by_id[&instance.id];
         world.keys.push(instances.iter().map(by_id).collect());
@@ -152,7 +152,7 @@
         self.count += 1;
         self.came.insert(ticket, (now, now));
         let deadline = Timestamp(now + self.load.deadline);
-        let request = Request { begun: true, deadline, finish_by: deadline, ..request(ticket, 0) };
+        let request = Request { started: true, deadline, finish_by: deadline, ..request(ticket, 0) };
         let decisions = self.nodes[node].submit(Timestamp(now), request);
         self.carry_out(now, node, decisions);
         self.keep_ticking(now, node);
@@ -183,7 +183,7 @@
                         &mut refused.refused_late
                     }) += 1;
                 }
-                Decision::Forget { .. } | Decision::Suspect { .. } => {}
+                Decision::DropConnections { .. } | Decision::Eject { .. } => {}
             }
         }
     }
@@ -221,14 +221,18 @@
 
     fn answer(&mut self, now: u64, node: usize, server: usize, ticket: u64, told: (u32, u32), full: bool) {
         let key = self.keys[node][server];
-        let load = super::Load { running: told.0, waiting: told.1 };
-        self.nodes[node].observe(Timestamp(now), key, load);
+        let load = super::ServerLoad { running: told.0, waiting: told.1 };
+        self.nodes[node].record_load(Timestamp(now), key, load);
         let (came, sent) = self.came[&ticket];
-        let outcome = if full { Outcome::Full } else { Outcome::Whole(Duration::from_micros(now - sent)) };
+        let outcome = if full {
+            RequestOutcome::Full
+        } else {
+            RequestOutcome::Completed(Duration::from_micros(now - sent))
+        };
         let mut decisions = self.nodes[node].finish(Timestamp(now), key, outcome);
         if full {
             let deadline = Timestamp(came + self.load.deadline);
-            let again = Request { begun: true, deadline, finish_by: deadline, ..request(ticket, 0) };
+            let again = Request { started: true, deadline, finish_by: deadline, ..request(ticket, 0) };
             decisions.extend(self.nodes[node].submit(Timestamp(now), again));
         } else {
             self.came.remove(&ticket);
--- a/agatetrestle/src/dispatch/tests/silent.rs
+++ b/agatetrestle/src/dispatch/tests/silent.rs
@@ -7,7 +7,7 @@
 /// Requests each 20 ms of which each answer begins after `took` milliseconds, but for the one sent at 1 s; how long after
 /// that one its server is held to be silent, looked at each 50 ms.
 fn silent_after(took: impl Fn(u64) -> u64, rules: Decisions) -> Option<u64> {
-    let mut dispatch = dispatch(&[instance("x", 16, "a"), instance("y", 16, "a")]).with_rules(rules);
+    let mut dispatch = dispatch(&[instance("x", 16, "a"), instance("y", 16, "a")]).with_policy(rules);
     dispatch.submit(at(0), request(0, 9_000));
     let sent = 1_000;
     let mut begun: Vec<(u64, u64)> =
@@ -16,9 +16,9 @@
     let mut begun = begun.into_iter().peekable();
     (sent..4_000).step_by(50).find_map(|now| {
         while let Some((at_ms, sent)) = begun.next_if(|(begins, _)| *begins <= now) {
-            dispatch.begins(at(at_ms), &SERVICE.into(), at(sent));
+            dispatch.record_response_start(at(at_ms), &SERVICE.into(), at(sent));
         }
-        dispatch.is_silent(at(now), &SERVICE.into(), at(sent), LEAST).then_some(now - sent)
+        dispatch.is_unresponsive(at(now), &SERVICE.into(), at(sent), LEAST).then_some(now - sent)
     })
 }
 
@@ -41,9 +41,9 @@
     let mut dispatch = dispatch(&[instance("x", 16, "a")]);
     dispatch.submit(at(0), request(0, 9_000));
     for sent in [10, 20, 30] {
-        dispatch.begins(at(sent + 60), &SERVICE.into(), at(sent));
+        dispatch.record_response_start(at(sent + 60), &SERVICE.into(), at(sent));
     }
-    assert!(!dispatch.is_silent(at(900), &SERVICE.into(), at(0), LEAST));
-    dispatch.begins(at(800), &SERVICE.into(), at(740));
-    assert!(dispatch.is_silent(at(900), &SERVICE.into(), at(0), LEAST), "the fourth that overtakes it");
+    assert!(!dispatch.is_unresponsive(at(900), &SERVICE.into(), at(0), LEAST));
+    dispatch.record_response_start(at(800), &SERVICE.into(), at(740));
+    assert!(dispatch.is_unresponsive(at(900), &SERVICE.into(), at(0), LEAST), "the fourth that overtakes it");
 }
--- a/agatetrestle/src/gateway/attempt.rs
+++ b/agatetrestle/src/gateway/attempt.rs
@@ -16,7 +16,7 @@
 use smol::Timer;
 
 use crate::clock::Timestamp;
-use crate::dispatch::Outcome;
+use crate::dispatch::RequestOutcome;
 use crate::gateway::Gateway;
 use crate::gateway::job::Job;
 use crate::gateway::place::Place;
@@ -62,14 +62,14 @@
     last: bool,
 ) -> Result<Sent, Failure> {
     let Some((instance, address)) = gateway.address(place.server) else {
-        place.release(Outcome::Abandoned);
+        place.release(RequestOutcome::Cancelled);
         return Err(Failure::NotRun("the server is gone".into()));
     };
     let reuse = if job.route.runs_once() { Reuse::Fresh } else { Reuse::Kept };
     let mut lease = match gateway.client.lease(address, reuse).await {
         Ok(lease) => lease,
         Err(failure) => {
-            place.release(Outcome::Unreachable);
+            place.release(RequestOutcome::Unreachable);
             return Err(Failure::NotRun(failure.to_string()));
         }
     };
@@ -88,29 +88,29 @@
     };
     let response = match answered {
         Answered::Silent => {
-            place.release(Outcome::Silent);
+            place.release(RequestOutcome::Unresponsive);
             return Err(Failure::MayHaveRun("the server says nothing while others answer".into()));
         }
         Answered::Late if patience < left => {
-            place.release(Outcome::Failed);
+            place.release(RequestOutcome::BadResponse);
             return Err(Failure::MayHaveRun("the server was silent for too long".into()));
         }
         Answered::Late => {
-            place.release(Outcome::Failed);
+            place.release(RequestOutcome::BadResponse);
             return Err(Failure::TooLate);
         }
         Answered::Begun(Err(failure @ SendError::Connect { .. })) => {
-            place.release(Outcome::Abandoned);
+            place.release(RequestOutcome::Cancelled);
             return Err(Failure::NotRun(failure.to_string()));
         }
         Answered::Begun(Err(failure @ SendError::Broken { .. })) => {
-            place.release(Outcome::Failed);
+            place.release(RequestOutcome::BadResponse);
             return Err(Failure::MayHaveRun(failure.to_string()));
         }
         Answered::Begun(Ok(response)) => response,
     };
     place.silent_after = None;
-    gateway.dispatch.borrow_mut().begins(gateway.clock.now(), &job.service, sent_at);
+    gateway.dispatch.borrow_mut().record_response_start(gateway.clock.now(), &job.service, sent_at);
     check(gateway, job, Sent { place, lease, response, at: sent_at })
 }
 
@@ -149,7 +149,7 @@
             if left.is_zero() {
                 return Answered::Late;
             }
-            if self.gateway.dispatch.borrow().is_silent(now, &self.job.service, self.at, least) {
+            if self.gateway.dispatch.borrow().is_unresponsive(now, &self.job.service, self.at, least) {
                 return Answered::Silent;
             }
             pause = SILENCE_POLL.min(left);
@@ -201,23 +201,23 @@
     let head = gateway.wire.read_answer(sent.response.headers());
     let server = sent.place.server;
     if let Some(load) = head.load {
-        gateway.dispatch.borrow_mut().observe(gateway.clock.now(), server, load);
+        gateway.dispatch.borrow_mut().record_load(gateway.clock.now(), server, load);
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        gateway.dispatch.borrow_mut().leaving(server);
-        sent.place.release(Outcome::Abandoned);
+        gateway.dispatch.borrow_mut().mark_leaving(server);
+        sent.place.release(RequestOutcome::Cancelled);
         return Err(Failure::NotRun("another instance has the address".into()));
     }
     if head.not_run {
-        sent.place.release(Outcome::Full);
+        sent.place.release(RequestOutcome::Full);
         return Err(Failure::NotRun(format!("the server answered {status} without running it")));
     }
     if head.attempt.as_ref() != Some(&job.attempt) {
-        sent.place.release(Outcome::Failed);
+        sent.place.release(RequestOutcome::BadResponse);
         return Err(Failure::MayHaveRun("the answer belongs to another request".into()));
     }
     if !head.signed {
-        sent.place.release(Outcome::Failed);
+        sent.place.release(RequestOutcome::BadResponse);
         return Err(Failure::MayHaveRun(format!("the server answered {status} without a signature")));
     }
     Ok(sent)
--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -41,7 +41,7 @@
 use crate::dispatch::Decision;
 use crate::dispatch::Dispatch;
 use crate::dispatch::Instance;
-use crate::dispatch::Outcome;
+use crate::dispatch::RequestOutcome;
 use crate::dispatch::ServerKey;
 use crate::gateway::place::Found;
 use crate::gateway::place::TurnedAway;
@@ -195,8 +195,10 @@
                 Decision::Reject { ticket, retry_after, reason } => {
                     self.deliver(ticket, Err(TurnedAway { retry_after, reason }));
                 }
-                Decision::Forget { address } => self.client.forget(address),
-                Decision::Suspect { server, until, usual } => self.note_suspect(server, until, usual),
+                Decision::DropConnections { address } => self.client.forget(address),
+                Decision::Eject { server, until, failure_rate } => {
+                    self.note_suspect(server, until, failure_rate);
+                }
             }
         }
     }
@@ -223,7 +225,7 @@
     /// Gives back a place that nobody used.
     fn give_back(&self, server: ServerKey) {
         let now = self.clock.now();
-        let decisions = self.dispatch.borrow_mut().finish(now, server, Outcome::Abandoned);
+        let decisions = self.dispatch.borrow_mut().finish(now, server, RequestOutcome::Cancelled);
         self.carry_out(decisions);
     }
 
--- a/agatetrestle/src/gateway/place.rs
+++ b/agatetrestle/src/gateway/place.rs
@@ -6,9 +6,9 @@
 use futures::channel::oneshot;
 
 use crate::clock::Timestamp;
-use crate::dispatch::Outcome;
-use crate::dispatch::Reason;
+use crate::dispatch::RejectReason;
 use crate::dispatch::Request;
+use crate::dispatch::RequestOutcome;
 use crate::dispatch::ServerKey;
 use crate::gateway::Gateway;
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TurnedAway {
     pub(super) retry_after: Duration,
-    pub(super) reason: Reason,
+    pub(super) reason: RejectReason,
 }
 
 /// What a request that waited was given.
@@ -44,7 +44,7 @@
         match self.found.try_recv() {
             Ok(Some(Ok(server))) => self.gateway.give_back(server),
             Ok(Some(Err(_))) => {}
-            _ => self.gateway.dispatch.borrow_mut().withdraw(self.ticket),
+            _ => self.gateway.dispatch.borrow_mut().cancel(self.ticket),
         }
     }
 }
@@ -66,17 +66,17 @@
                 Ok(Self { gateway: gateway.clone(), server, released: false, silent_after: None })
             }
             Err(oneshot::Canceled) => {
-                Err(TurnedAway { retry_after: Duration::from_millis(100), reason: Reason::QueueFull })
+                Err(TurnedAway { retry_after: Duration::from_millis(100), reason: RejectReason::QueueFull })
             }
         }
     }
 
     /// Gives the place back and tells how its use ended.
-    pub(super) fn release(mut self, outcome: Outcome) {
+    pub(super) fn release(mut self, outcome: RequestOutcome) {
         self.give_back(outcome);
     }
 
-    fn give_back(&mut self, outcome: Outcome) {
+    fn give_back(&mut self, outcome: RequestOutcome) {
         if std::mem::replace(&mut self.released, true) {
             return;
         }
@@ -90,6 +90,6 @@
     fn drop(&mut self) {
         let now = self.gateway.clock.now();
         let silent = self.silent_after.is_some_and(|after| now > after);
-        self.give_back(if silent { Outcome::Silent } else { Outcome::Abandoned });
+        self.give_back(if silent { RequestOutcome::Unresponsive } else { RequestOutcome::Cancelled });
     }
 }
--- a/agatetrestle/src/gateway/relay.rs
+++ b/agatetrestle/src/gateway/relay.rs
@@ -13,7 +13,7 @@
 use hyper::body::Incoming;
 
 use crate::clock::Timestamp;
-use crate::dispatch::Outcome;
+use crate::dispatch::RequestOutcome;
 use crate::gateway::Gateway;
 use crate::gateway::UnderWay;
 use crate::gateway::attempt::Sent;
@@ -80,7 +80,11 @@
         let took = self.gateway.clock.now().since(self.sent_at);
         if let Some(place) = self.place.take() {
             let failed = self.status >= StatusCode::INTERNAL_SERVER_ERROR.as_u16();
-            place.release(if failed { Outcome::Error(took) } else { Outcome::Whole(took) });
+            place.release(if failed {
+                RequestOutcome::ServerError(took)
+            } else {
+                RequestOutcome::Completed(took)
+            });
         }
         if let Some(lease) = self.lease.take() {
             self.gateway.client.keep(lease, &self.headers);
@@ -91,7 +95,7 @@
     fn fail(&mut self) {
         self.lease = None;
         if let Some(place) = self.place.take() {
-            place.release(Outcome::Failed);
+            place.release(RequestOutcome::BadResponse);
         }
     }
 
--- a/agatetrestle/src/gateway/request.rs
+++ b/agatetrestle/src/gateway/request.rs
@@ -257,11 +257,11 @@
         ticket: 0,
         service: job.service.clone(),
         priority: job.priority(),
-        begun: job.begun,
-        patience: job.route.objective / PATIENCE_DIVISOR,
+        started: job.begun,
+        max_wait: job.route.objective / PATIENCE_DIVISOR,
         deadline: job.until,
         finish_by: job.arrived + finish_in,
         affinity: job.call.line.filter(|_| job.route.sticky),
-        avoid: avoid.to_vec(),
+        excluded: avoid.to_vec(),
     }
 }
--- a/agatetrestle/src/gateway/reserve.rs
+++ b/agatetrestle/src/gateway/reserve.rs
@@ -51,7 +51,7 @@
     let opening = Opening {
         service: job.service.clone(),
         route: job.route.name.clone(),
-        places: gateway.dispatch.borrow().places(&job.service),
+        places: gateway.dispatch.borrow().total_slots(&job.service),
         charge: is_limited(job),
         patience: millis(job.until.since(gateway.clock.now())),
         finish_in: job.call.finish_in.map(millis),
--- a/agatetrestle/src/gateway/wire.rs
+++ b/agatetrestle/src/gateway/wire.rs
@@ -13,7 +13,7 @@
 
 use crate::cluster::message::Emptying;
 use crate::dispatch::Instance;
-use crate::dispatch::Load;
+use crate::dispatch::ServerLoad;
 use crate::routing::InvalidTable;
 use crate::routing::Key;
 use crate::routing::RouteTable;
@@ -64,7 +64,7 @@
     /// Whether the backend server says that it did not run the request.
     pub not_run: bool,
     /// Load of the server by all nodes.
-    pub load: Option<Load>,
+    pub load: Option<ServerLoad>,
 }
 
 /// A call of an operator.
--- a/agatetrestle/src/turns/tests/burst.rs
+++ b/agatetrestle/src/turns/tests/burst.rs
@@ -17,10 +17,10 @@
 use crate::dispatch::Decision;
 use crate::dispatch::Dispatch;
 use crate::dispatch::Instance;
-use crate::dispatch::Load;
-use crate::dispatch::Outcome;
 use crate::dispatch::Request;
+use crate::dispatch::RequestOutcome;
 use crate::dispatch::ServerKey;
+use crate::dispatch::ServerLoad;
 use crate::scheduler::random::Random;
 use crate::turns::door::Beginning;
 use crate::turns::door::Coming;
@@ -170,7 +170,9 @@
         let zone = format!("z-{}", number % 3);
         let mut entry = Dispatch::new(zone.into(), seed ^ (number as u64) << 8);
         entry.replace_instances(Timestamp(0), &instances);
-        let key = |id: &str| entry.keys().find(|(_, known)| &*known.id == id).map(|(key, _)| key).unwrap();
+        let key = |id: &str| {
+            entry.instances_by_key().find(|(_, known)| &*known.id == id).map(|(key, _)| key).unwrap()
+        };
         world.keys.push(instances.iter().map(|instance| key(&instance.id)).collect());
         world.entries.push(entry);
     }
@@ -281,12 +283,12 @@
             ticket,
             service: SERVICE.into(),
             priority: 1,
-            begun: program.begun,
-            patience: Duration::from_millis(100),
+            started: program.begun,
+            max_wait: Duration::from_millis(100),
             deadline: Timestamp(turn.until),
             finish_by: Timestamp(program.deadline),
             affinity: Some(turn.program as u64),
-            avoid: turn.avoid.clone(),
+            excluded: turn.avoid.clone(),
         };
         let decisions = self.entries[entry].submit(Timestamp(now), request);
         self.carry_out(now, entry, decisions);
@@ -308,7 +310,7 @@
                         self.again(now, turn.program, turn.tries, turn.child, after);
                     }
                 }
-                Decision::Forget { .. } | Decision::Suspect { .. } => {}
+                Decision::DropConnections { .. } | Decision::Eject { .. } => {}
             }
         }
         if self.entries[entry].waiting() > 0 && self.ticking.insert(entry) {
@@ -364,10 +366,13 @@
         let entry = turn.entry;
         let key = self.keys[entry][engine];
         turn.avoid.push(key);
-        let load = Load { running: told.0, waiting: told.1 };
-        self.entries[entry].observe(Timestamp(now), key, load);
-        let outcome =
-            if full { Outcome::Full } else { Outcome::Whole(Duration::from_micros(WORK + 2 * WAY)) };
+        let load = ServerLoad { running: told.0, waiting: told.1 };
+        self.entries[entry].record_load(Timestamp(now), key, load);
+        let outcome = if full {
+            RequestOutcome::Full
+        } else {
+            RequestOutcome::Completed(Duration::from_micros(WORK + 2 * WAY))
+        };
         let decisions = self.entries[entry].finish(Timestamp(now), key, outcome);
         self.carry_out(now, entry, decisions);
         if full {
@@ -425,11 +430,11 @@
         if let Some(turn) = self.end_turn(now, ticket) {
             let entry = turn.entry;
             let before = self.entries[entry].waiting();
-            self.entries[entry].withdraw(ticket);
+            self.entries[entry].cancel(ticket);
             if before == self.entries[entry].waiting()
                 && let Some(key) = turn.avoid.last()
             {
-                let decisions = self.entries[entry].finish(Timestamp(now), *key, Outcome::Abandoned);
+                let decisions = self.entries[entry].finish(Timestamp(now), *key, RequestOutcome::Cancelled);
                 self.carry_out(now, entry, decisions);
             }
             self.again(now, turn.program, turn.tries, turn.child, 250 * MILLI);
