--- a/agatetrestle/src/allowance/account.rs
+++ b/agatetrestle/src/allowance/account.rs
@@ -9,7 +9,7 @@
 
 use crate::allowance::Need;
 use crate::clock::Timestamp;
-use crate::routing::Allowance;
+use crate::routing::RateLimit;
 
 /// Share of what may be beyond the allowance in a window that an account lets through. The rest is kept for what this place
 /// can't see, such as a request that a frozen entry sends long after it was taken.
@@ -70,9 +70,9 @@
     }
 
     /// Sets the limit. In any window at most `depth + rate * window` requests are let through, which is the most that may run.
-    pub(super) fn limit(&mut self, now: Timestamp, allowance: Allowance, bounds: AllowanceBounds) {
+    pub(super) fn limit(&mut self, now: Timestamp, allowance: RateLimit, bounds: AllowanceBounds) {
         self.pass(now);
-        let Allowance { per_second, burst } = allowance;
+        let RateLimit { per_second, burst } = allowance;
         let window = per_second * bounds.window.as_secs_f64() + burst;
         let beyond = window * bounds.overrun + f64::from(bounds.slack);
         self.rate = per_second;
--- a/agatetrestle/src/allowance/mod.rs
+++ b/agatetrestle/src/allowance/mod.rs
@@ -70,7 +70,7 @@
         let bounds = self.bounds;
         let mut before = std::mem::take(&mut self.teams);
         let declared = teams.iter().map(|team| {
-            let account = team.allowance.map(|allowance| {
+            let account = team.rate_limit.map(|allowance| {
                 let known = before.remove(&team.name).flatten();
                 let mut account = known.unwrap_or_else(|| Account::new(now));
                 account.limit(now, allowance, bounds);
--- a/agatetrestle/src/allowance/tests.rs
+++ b/agatetrestle/src/allowance/tests.rs
@@ -5,15 +5,15 @@
 use proptest::prelude::*;
 
 use crate::allowance::*;
-use crate::routing::Allowance;
+use crate::routing::RateLimit;
 use crate::scheduler::random::Random;
 
 const BOUNDS: AllowanceBounds = AllowanceBounds { window: Duration::from_secs(5), overrun: 0.1, slack: 20 };
 const RED: &str = "red";
 
 fn team(name: &str, per_second: f64) -> Arc<Team> {
-    let allowance = Some(Allowance { per_second, burst: per_second }).filter(|_| per_second > 0.0);
-    Arc::new(Team { name: name.into(), keys: Vec::new(), priority: 1, allowance })
+    let allowance = Some(RateLimit { per_second, burst: per_second }).filter(|_| per_second > 0.0);
+    Arc::new(Team { name: name.into(), keys: Vec::new(), priority: 1, rate_limit: allowance })
 }
 
 fn accounts(per_second: f64) -> Accounts {
--- a/agatetrestle/src/gateway/attempt.rs
+++ b/agatetrestle/src/gateway/attempt.rs
@@ -65,7 +65,7 @@
         place.release(RequestOutcome::Cancelled);
         return Err(Failure::NotRun("the server is gone".into()));
     };
-    let reuse = if job.route.runs_once() { Reuse::Fresh } else { Reuse::Kept };
+    let reuse = if job.route.is_at_most_once() { Reuse::Fresh } else { Reuse::Kept };
     let mut lease = match gateway.client.lease(address, reuse).await {
         Ok(lease) => lease,
         Err(failure) => {
--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -241,9 +241,9 @@
         match self.wire.read_table(document.text.as_bytes()) {
             Ok(table) => {
                 info!("Routes of version {} are in force, revision {}.", table.version, document.revision);
-                self.bounds.head.set(table.limits.head);
-                self.bounds.head_time.set(table.limits.head_time);
-                self.bounds.idle.set(table.limits.idle);
+                self.bounds.head.set(table.limits.max_header_bytes);
+                self.bounds.head_time.set(table.limits.header_timeout);
+                self.bounds.idle.set(table.limits.idle_timeout);
                 self.table.replace(Some(Rc::new(table)));
             }
             // Control accepted it, so this node is of another build; it goes on with the table it has.
--- a/agatetrestle/src/gateway/request.rs
+++ b/agatetrestle/src/gateway/request.rs
@@ -35,7 +35,7 @@
 use crate::gateway::wire::CallHead;
 use crate::routing::Route;
 use crate::routing::RouteTable;
-use crate::routing::UnknownKey;
+use crate::routing::Unauthorized;
 use crate::transport::body::AnswerBody;
 
 /// Servers that may say in turn that they did not run a request before it is turned away.
@@ -110,19 +110,19 @@
     trail.version = table.version;
     let route = find_route(&table, &head)?;
     trail.route = route.name.clone();
-    let team = table.team(&route, call.key.as_ref());
+    let team = table.authorize(&route, call.key.as_ref());
     let team =
-        team.map_err(|UnknownKey| Problem::new(StatusCode::UNAUTHORIZED, "no team has this key"))?.cloned();
+        team.map_err(|Unauthorized| Problem::new(StatusCode::UNAUTHORIZED, "no team has this key"))?.cloned();
     trail.team = team.as_ref().map(|team| team.name.clone()).unwrap_or_default();
     if attempt.is_empty() {
         return Err(Problem::new(StatusCode::BAD_REQUEST, "the request has no id"));
     }
     let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
     let until = arrived + patience;
-    let limit = table.limits.body;
+    let limit = table.limits.max_body_bytes;
     let (_held, body) = read_body(gateway, body, limit, until).await?;
     let draw = gateway.random.borrow_mut().below(u64::MAX);
-    let service = route.pick(draw).clone();
+    let service = route.pick_service(draw).clone();
     trail.service = service.clone();
     // A call of a tool belongs to a program that has had a turn.
     let begun = !route.is_streaming() || call.previous.is_some() || gateway.has_seen(&call);
@@ -248,7 +248,7 @@
 
 /// Whether a request may be sent to one more server after it may have run on this many.
 fn may_run_again(job: &Job, ran: u32) -> bool {
-    !job.route.runs_once() && !job.route.is_streaming() && ran < job.route.max_attempts
+    !job.route.is_at_most_once() && !job.route.is_streaming() && ran < job.route.max_attempts
 }
 
 fn wanted(job: &Job, now: Timestamp, avoid: &[ServerKey]) -> dispatch::Request {
--- a/agatetrestle/src/gateway/reserve.rs
+++ b/agatetrestle/src/gateway/reserve.rs
@@ -27,7 +27,7 @@
 
 /// Whether a request counts against the allowance of its team.
 fn is_limited(job: &Job) -> bool {
-    job.team.as_ref().is_some_and(|team| team.allowance.is_some())
+    job.team.as_ref().is_some_and(|team| team.rate_limit.is_some())
 }
 
 /// Takes a request that is no turn from its team's account.
--- a/agatetrestle/src/gateway/tests.rs
+++ b/agatetrestle/src/gateway/tests.rs
@@ -75,8 +75,8 @@
         sticky: true,
         public: false,
     };
-    let team =
-        team.map(|priority| Arc::new(Team { name: "t".into(), keys: Vec::new(), priority, allowance: None }));
+    let team = team
+        .map(|priority| Arc::new(Team { name: "t".into(), keys: Vec::new(), priority, rate_limit: None }));
     Job {
         head: http::Request::new(()).into_parts().0,
         call: CallHead { finish_in: left.map(Duration::from_millis), ..CallHead::default() },
--- a/agatetrestle/src/gateway/wire.rs
+++ b/agatetrestle/src/gateway/wire.rs
@@ -14,8 +14,8 @@
 use crate::cluster::message::Emptying;
 use crate::dispatch::Instance;
 use crate::dispatch::ServerLoad;
+use crate::routing::ApiKey;
 use crate::routing::InvalidTable;
-use crate::routing::Key;
 use crate::routing::RouteTable;
 
 /// What a request says beside its route and body.
@@ -36,7 +36,7 @@
     /// The turn that it goes on from.
     pub previous: Option<Arc<str>>,
     /// Key of the caller's team.
-    pub key: Option<Key>,
+    pub key: Option<ApiKey>,
     /// Stands for the line of turns or prompt that the request shares with others.
     pub line: Option<u64>,
 }
--- a/agatetrestle/src/routing/check.rs
+++ b/agatetrestle/src/routing/check.rs
@@ -16,7 +16,7 @@
 pub enum InvalidTable {
     /// The text is no table.
     #[snafu(display("the table can't be read: {reason}"))]
-    Unreadable {
+    Malformed {
         /// What was expected, and where.
         reason: Arc<str>,
     },
@@ -30,13 +30,13 @@
     },
     /// Two routes would take the same requests.
     #[snafu(display("route {route} has the host and prefix of an earlier one"))]
-    SamePlace {
+    DuplicateRoute {
         /// The later route.
         route: Arc<str>,
     },
     /// No target of a route gets any request.
     #[snafu(display("the weights of route {route} add up to 0"))]
-    NoWeight {
+    ZeroWeight {
         /// The route.
         route: Arc<str>,
     },
@@ -50,7 +50,7 @@
     },
     /// A route would give up before it began.
     #[snafu(display("route {route} has no time"))]
-    NoTime {
+    ZeroTimeout {
         /// The route.
         route: Arc<str>,
     },
@@ -65,7 +65,7 @@
     for (at, route) in routes.iter().enumerate() {
         check_route(route, services)?;
         let taken = by_host.entry(route.host.clone()).or_default().insert(route.prefix.clone(), at);
-        ensure!(taken.is_none(), SamePlaceSnafu { route: route.name.clone() });
+        ensure!(taken.is_none(), DuplicateRouteSnafu { route: route.name.clone() });
     }
     Ok(by_host)
 }
@@ -77,7 +77,7 @@
         ensure!(known, UnknownServiceSnafu { route, service });
     }
     let weight: u128 = route.targets.iter().map(|target| u128::from(target.weight)).sum();
-    ensure!(weight > 0 && u64::try_from(weight).is_ok(), NoWeightSnafu { route: route.name.clone() });
-    ensure!(!route.timeout.is_zero(), NoTimeSnafu { route: route.name.clone() });
+    ensure!(weight > 0 && u64::try_from(weight).is_ok(), ZeroWeightSnafu { route: route.name.clone() });
+    ensure!(!route.timeout.is_zero(), ZeroTimeoutSnafu { route: route.name.clone() });
     Ok(())
 }
--- a/agatetrestle/src/routing/mod.rs
+++ b/agatetrestle/src/routing/mod.rs
@@ -9,8 +9,8 @@
 mod tests;
 
 pub use self::check::InvalidTable;
-pub use self::teams::Allowance;
-pub use self::teams::Key;
+pub use self::teams::ApiKey;
+pub use self::teams::RateLimit;
 pub use self::teams::Team;
 pub use self::teams::Teams;
 
@@ -36,7 +36,7 @@
 
 /// A share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Target {
+pub struct RouteTarget {
     /// The service that gets them.
     pub service: Arc<str>,
     /// Its share in relation to the other targets.
@@ -61,7 +61,7 @@
     /// Rank, 0 for the most urgent.
     pub priority: u8,
     /// Where requests go.
-    pub targets: Vec<Target>,
+    pub targets: Vec<RouteTarget>,
     /// Most backend servers that one request may run on.
     pub max_attempts: u32,
     /// How long a turn that ended can be gone on from; none where the route keeps no turns.
@@ -87,13 +87,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
     /// Largest request head in bytes.
-    pub head: usize,
+    pub max_header_bytes: usize,
     /// Largest request body in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Time for the head to arrive.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
     /// Time for which a connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Places of routes by host and prefix.
@@ -115,7 +115,7 @@
 
 /// A request carries no key of a team, and its route is not public.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct UnknownKey;
+pub struct Unauthorized;
 
 impl RouteTable {
     /// Checks the parts of a table and puts them together.
@@ -150,12 +150,12 @@
     /// # Errors
     ///
     /// Fails if the request must not run for want of a key.
-    pub fn team(&self, route: &Route, key: Option<&Key>) -> Result<Option<&Arc<Team>>, UnknownKey> {
+    pub fn authorize(&self, route: &Route, key: Option<&ApiKey>) -> Result<Option<&Arc<Team>>, Unauthorized> {
         let Some(teams) = &self.teams else {
             return Ok(None);
         };
         let holder = key.and_then(|key| teams.holder(key));
-        if holder.is_none() && !route.public { Err(UnknownKey) } else { Ok(holder) }
+        if holder.is_none() && !route.public { Err(Unauthorized) } else { Ok(holder) }
     }
 
     /// The teams in declared order; empty where none are declared.
@@ -191,7 +191,7 @@
 impl Route {
     /// The service that a request goes to, by a number drawn evenly from all `u64`.
     #[must_use]
-    pub fn pick(&self, draw: u64) -> &Arc<str> {
+    pub fn pick_service(&self, draw: u64) -> &Arc<str> {
         let total: u64 = self.targets.iter().map(|target| target.weight).sum();
         let mut place = draw % total.max(1);
         for target in &self.targets {
@@ -205,7 +205,7 @@
 
     /// Whether a request that may have run must not be sent again.
     #[must_use]
-    pub fn runs_once(&self) -> bool {
+    pub fn is_at_most_once(&self) -> bool {
         !matches!(self.kind, RouteKind::Idempotent | RouteKind::Streaming { resumable: true })
     }
 
--- a/agatetrestle/src/routing/teams.rs
+++ b/agatetrestle/src/routing/teams.rs
@@ -13,15 +13,15 @@
 
 /// A caller's key. It can be compared, never read back.
 #[derive(Clone, Eq, Hash, PartialEq)]
-pub struct Key(Arc<str>);
+pub struct ApiKey(Arc<str>);
 
-impl From<&str> for Key {
+impl From<&str> for ApiKey {
     fn from(text: &str) -> Self {
         Self(text.into())
     }
 }
 
-impl fmt::Debug for Key {
+impl fmt::Debug for ApiKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key")
     }
@@ -29,7 +29,7 @@
 
 /// How many requests a team may send, over all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub struct RateLimit {
     /// Requests a second, without end.
     pub per_second: f64,
     /// Requests on top of that, once.
@@ -42,18 +42,18 @@
     /// Declared name; backend servers are told it.
     pub name: Arc<str>,
     /// Each of them opens the routes that are not public.
-    pub keys: Vec<Key>,
+    pub keys: Vec<ApiKey>,
     /// Rank among teams, 0 for the most urgent; it goes before the rank of a route.
     pub priority: u8,
     /// None where it may send without a limit.
-    pub allowance: Option<Allowance>,
+    pub rate_limit: Option<RateLimit>,
 }
 
 /// The teams of one table.
 #[derive(Clone, Debug, Default)]
 pub struct Teams {
     all: Vec<Arc<Team>>,
-    by_key: HashMap<Key, usize>,
+    by_key: HashMap<ApiKey, usize>,
 }
 
 impl Teams {
@@ -79,7 +79,7 @@
 
     /// The team that holds a key.
     #[must_use]
-    pub fn holder(&self, key: &Key) -> Option<&Arc<Team>> {
+    pub fn holder(&self, key: &ApiKey) -> Option<&Arc<Team>> {
         self.by_key.get(key).map(|at| &self.all[*at])
     }
 
--- a/agatetrestle/src/routing/tests.rs
+++ b/agatetrestle/src/routing/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 const LIMITS: CallerLimits = CallerLimits {
-    head: 16_384,
-    body: 4 << 20,
-    head_time: Duration::from_secs(3),
-    idle: Duration::from_secs(15),
+    max_header_bytes: 16_384,
+    max_body_bytes: 4 << 20,
+    header_timeout: Duration::from_secs(3),
+    idle_timeout: Duration::from_secs(15),
 };
 
 fn route(name: &str, prefix: &str, targets: &[(&str, u64)]) -> Route {
@@ -20,7 +20,7 @@
         priority: 0,
         targets: targets
             .iter()
-            .map(|(name, weight)| Target { service: (*name).into(), weight: *weight })
+            .map(|(name, weight)| RouteTarget { service: (*name).into(), weight: *weight })
             .collect(),
         max_attempts: 2,
         retention: None,
@@ -51,10 +51,10 @@
 #[test]
 fn weights_share_the_requests_out() {
     let split = route("split", "/a/", &[("one", 9), ("two", 1)]);
-    let to_two = (0..1_000).filter(|draw| &**split.pick(*draw) == "two").count();
+    let to_two = (0..1_000).filter(|draw| &**split.pick_service(*draw) == "two").count();
     assert_eq!(to_two, 100);
     let closed = route("closed", "/a/", &[("one", 0), ("two", 3)]);
-    assert!((0..10).all(|draw| &**closed.pick(draw) == "two"), "a weight of 0 gets nothing");
+    assert!((0..10).all(|draw| &**closed.pick_service(draw) == "two"), "a weight of 0 gets nothing");
 }
 
 #[test]
@@ -71,8 +71,13 @@
 }
 
 fn team(name: &str, keys: &[&str]) -> Team {
-    let allowance = Some(Allowance { per_second: 10.0, burst: 5.0 });
-    Team { name: name.into(), keys: keys.iter().map(|key| Key::from(*key)).collect(), priority: 1, allowance }
+    let rate_limit = Some(RateLimit { per_second: 10.0, burst: 5.0 });
+    Team {
+        name: name.into(),
+        keys: keys.iter().map(|key| ApiKey::from(*key)).collect(),
+        priority: 1,
+        rate_limit,
+    }
 }
 
 #[test]
@@ -80,19 +85,19 @@
     let closed = || route("closed", "/a/", &[("one", 1)]);
     let open = Route { public: true, ..route("open", "/b/", &[("one", 1)]) };
     let anybody = table(vec![closed()]).unwrap();
-    assert_eq!(anybody.team(&closed(), None), Ok(None), "without teams anybody may send");
+    assert_eq!(anybody.authorize(&closed(), None), Ok(None), "without teams anybody may send");
     let nobody = table(vec![closed()]).unwrap().with_teams(Vec::new()).unwrap();
-    assert_eq!(nobody.team(&closed(), Some(&"k".into())), Err(UnknownKey));
+    assert_eq!(nobody.authorize(&closed(), Some(&"k".into())), Err(Unauthorized));
     let teams = vec![team("red", &["k-1", "k-2", "k-1"]), team("blue", &["k-3"])];
     let table = table(vec![closed(), open.clone()]).unwrap().with_teams(teams).unwrap();
     let holder = |route: &Route, key: Option<&str>| {
-        let found = table.team(route, key.map(Key::from).as_ref());
+        let found = table.authorize(route, key.map(ApiKey::from).as_ref());
         found.map(|team| team.map(|team| team.name.to_string()))
     };
     assert_eq!(holder(&closed(), Some("k-2")), Ok(Some("red".into())));
     assert_eq!(holder(&closed(), Some("k-3")), Ok(Some("blue".into())));
     for key in [None, Some("k"), Some(""), Some("K-1")] {
-        assert_eq!(holder(&closed(), key), Err(UnknownKey), "{key:?}");
+        assert_eq!(holder(&closed(), key), Err(Unauthorized), "{key:?}");
         assert_eq!(holder(&open, key), Ok(None), "{key:?}");
     }
     assert_eq!(holder(&open, Some("k-1")), Ok(Some("red".into())));
