--- a/agatetrestle/src/dispatch/mod.rs
+++ b/agatetrestle/src/dispatch/mod.rs
@@ -30,8 +30,8 @@
 use crate::clock::Timestamp;
 use crate::dispatch::server::Server;
 use crate::dispatch::silence::Beginnings;
-use crate::health::most_out;
-use crate::health::risk::Risk;
+use crate::health::failure_rates::FailureRates;
+use crate::health::max_ejected;
 use crate::scheduler::random::Random;
 
 /// Requests that may wait for one service on one node. Each holds its body in memory; 512 of some 20 KB stay
@@ -58,7 +58,7 @@
     waiting: BTreeMap<Rank, Request>,
     mean: Duration,
     /// How often requests fail at servers against which nothing speaks.
-    risk: Risk,
+    failure_rates: FailureRates,
     /// Answers that began lately.
     beginnings: Beginnings,
 }
@@ -68,7 +68,7 @@
         Self {
             waiting: BTreeMap::new(),
             mean: FIRST_ESTIMATE,
-            risk: Risk::default(),
+            failure_rates: FailureRates::default(),
             beginnings: Beginnings::default(),
         }
     }
@@ -256,10 +256,10 @@
         if let RequestOutcome::Completed(took) = outcome {
             queue.mean = (queue.mean * (MEAN_WEIGHT - 1) + took) / MEAN_WEIGHT;
         }
-        if let Some(failed) = server.weigh(now, outcome, queue.risk.of(ANY_SIZE)) {
-            queue.risk.learn(ANY_SIZE, failed);
+        if let Some(failed) = server.weigh(now, outcome, queue.failure_rates.rate(ANY_SIZE)) {
+            queue.failure_rates.record(ANY_SIZE, failed);
         }
-        let usual = queue.risk.of(ANY_SIZE);
+        let usual = queue.failure_rates.rate(ANY_SIZE);
         let suspected =
             self.suspect(now, key).map(|until| Decision::Eject { server: key, until, failure_rate: usual });
         let mut decisions: Vec<Decision> = suspected.into_iter().collect();
@@ -272,7 +272,7 @@
         let service = self.servers.get(key)?.instance.service.clone();
         let of_service = || self.servers.values().filter(|server| server.serves(&service) && server.listed);
         let out = of_service().filter(|server| server.is_out(now)).count();
-        if out >= most_out(of_service().count()) {
+        if out >= max_ejected(of_service().count()) {
             return None;
         }
         self.servers.get_mut(key)?.suspect(now)
--- a/agatetrestle/src/dispatch/suspicion.rs
+++ b/agatetrestle/src/dispatch/suspicion.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
-use crate::health::Watch;
-use crate::health::sequential::Sequential;
+use crate::health::OutlierDetector;
+use crate::health::sequential::SequentialTest;
 
 /// The odds of failure, against those of the pool, that the test looks for. A server that fails in part fails some
 /// ten to forty times as often as the others, and each failure ends a program, so the test is set to see that soon.
@@ -25,13 +25,13 @@
 /// What speaks against one server.
 #[derive(Debug)]
 pub(super) struct Suspicion {
-    watch: Sequential,
+    watch: SequentialTest,
     alarms: u32,
 }
 
 impl Default for Suspicion {
     fn default() -> Self {
-        Self { watch: Sequential::new(ODDS_RATIO, FALSE_ALARM), alarms: 0 }
+        Self { watch: SequentialTest::new(ODDS_RATIO, FALSE_ALARM), alarms: 0 }
     }
 }
 
@@ -43,18 +43,18 @@
 
     /// Whether nothing speaks against the server, so that its outcomes tell what is usual.
     pub(super) fn is_calm(&self) -> bool {
-        self.watch.calm()
+        self.watch.is_healthy()
     }
 
     /// For how long the server is to rest, if the evidence suffices. It comes back on probation: a single failure more
     /// sends it out again.
     pub(super) fn alarm(&mut self) -> Option<Duration> {
-        if !self.watch.alarm() {
+        if !self.watch.should_eject() {
             return None;
         }
         let rest = FIRST_REST * 2_u32.pow(self.alarms.min(MOST_DOUBLINGS));
         self.alarms += 1;
-        self.watch.rejoin();
+        self.watch.start_probation();
         Some(rest)
     }
 }
--- a/agatetrestle/src/health/average.rs
+++ b/agatetrestle/src/health/average.rs
@@ -1,16 +1,16 @@
 //! An exponentially weighted moving average of failures, the other baseline.
 
-use crate::health::Watch;
+use crate::health::OutlierDetector;
 
 /// Ejects while the average failure rate is above a limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Average {
+pub struct MovingAverage {
     weight: f64,
     limit: f64,
     rate: f64,
 }
 
-impl Average {
+impl MovingAverage {
     /// Takes the weight of one outcome and the limit of the rate.
     #[must_use]
     pub fn new(weight: f64, limit: f64) -> Self {
@@ -18,21 +18,21 @@
     }
 }
 
-impl Watch for Average {
+impl OutlierDetector for MovingAverage {
     fn record(&mut self, failed: bool, _risk: f64) {
         let outcome = if failed { 1.0 } else { 0.0 };
         self.rate += self.weight * (outcome - self.rate);
     }
 
-    fn alarm(&self) -> bool {
+    fn should_eject(&self) -> bool {
         self.rate >= self.limit
     }
 
-    fn calm(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         self.rate < self.limit / 2.0
     }
 
-    fn rejoin(&mut self) {
+    fn start_probation(&mut self) {
         self.rate = self.limit / 2.0;
     }
 }
--- a/agatetrestle/src/health/risk.rs
+++ b/agatetrestle/src/health/failure_rates.rs
@@ -6,25 +6,25 @@
 
 /// Failure rates by the size of a call in tokens, in doublings.
 #[derive(Clone, Copy, Debug)]
-pub struct Risk {
+pub struct FailureRates {
     rates: [f64; BUCKETS],
 }
 
-impl Default for Risk {
+impl Default for FailureRates {
     fn default() -> Self {
         Self { rates: [PRIOR; BUCKETS] }
     }
 }
 
-impl Risk {
+impl FailureRates {
     /// The probability that a call of this size fails.
     #[must_use]
-    pub fn of(&self, tokens: u64) -> f64 {
+    pub fn rate(&self, tokens: u64) -> f64 {
         self.rates[bucket(tokens)]
     }
 
     /// Takes in an outcome.
-    pub fn learn(&mut self, tokens: u64, failed: bool) {
+    pub fn record(&mut self, tokens: u64, failed: bool) {
         let outcome = if failed { 1.0 } else { 0.0 };
         let rate = &mut self.rates[bucket(tokens)];
         *rate += WEIGHT * (outcome - *rate);
--- a/agatetrestle/src/health/mod.rs
+++ b/agatetrestle/src/health/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod average;
 pub mod consecutive;
-pub mod risk;
+pub mod failure_rates;
 pub mod sequential;
 
 use std::fmt;
@@ -13,22 +13,22 @@
 /// How many of so many servers may be out at once: a fault that all share is not mended by sending everything to the
 /// few that are left. One may always go, but for the last.
 #[must_use]
-pub fn most_out(servers: usize) -> usize {
+pub fn max_ejected(servers: usize) -> usize {
     (servers * MOST_OUT_PERCENT / 100).max(1).min(servers.saturating_sub(1))
 }
 
 /// Watches the outcomes of one backend server.
-pub trait Watch: fmt::Debug {
+pub trait OutlierDetector: fmt::Debug {
     /// Takes in an outcome; `risk` is the probability with which such a call fails on a healthy
     /// backend server.
     fn record(&mut self, failed: bool, risk: f64);
 
     /// Whether the backend server is to be ejected.
-    fn alarm(&self) -> bool;
+    fn should_eject(&self) -> bool;
 
     /// Whether nothing speaks against the backend server, so that its outcomes may be learned from.
-    fn calm(&self) -> bool;
+    fn is_healthy(&self) -> bool;
 
     /// Starts again after an ejection, on probation.
-    fn rejoin(&mut self);
+    fn start_probation(&mut self);
 }
--- a/agatetrestle/src/health/sequential.rs
+++ b/agatetrestle/src/health/sequential.rs
@@ -1,11 +1,11 @@
 //! The risk-adjusted sequential probability ratio test.
 //!
-//! After Spiegelhalter, Grigg, Kinsman and Treasure, "Risk-adjusted sequential probability ratio tests:
+//! After Spiegelhalter, Grigg, Kinsman and Treasure, "FailureRates-adjusted sequential probability ratio tests:
 //! applications to Bristol, Shipman and adult cardiac surgery" (International Journal for Quality in
 //! Health Care, 2003): each outcome moves a log-likelihood ratio by an amount that depends on how
 //! likely the failure was for that call, so that a server is not blamed for getting the hard calls.
 
-use crate::health::Watch;
+use crate::health::OutlierDetector;
 
 const MISSED: f64 = 0.05;
 const PROBATION: f64 = 0.5;
@@ -15,13 +15,13 @@
 
 /// Tests whether the odds of failure are at least a given multiple of the expected ones.
 #[derive(Clone, Copy, Debug)]
-pub struct Sequential {
+pub struct SequentialTest {
     odds_ratio: f64,
     threshold: f64,
     evidence: f64,
 }
 
-impl Sequential {
+impl SequentialTest {
     /// A test for this multiple of the odds, which ejects a healthy server with about this
     /// probability. The caller divides the probability by the number of servers watched.
     #[must_use]
@@ -36,7 +36,7 @@
     }
 }
 
-impl Watch for Sequential {
+impl OutlierDetector for SequentialTest {
     fn record(&mut self, failed: bool, risk: f64) {
         let risk = risk.clamp(LEAST_RISK, MOST_RISK);
         let success = -(1.0 - risk + self.odds_ratio * risk).ln();
@@ -45,15 +45,15 @@
         self.evidence = (self.evidence + step).max(0.0);
     }
 
-    fn alarm(&self) -> bool {
+    fn should_eject(&self) -> bool {
         self.evidence >= self.threshold
     }
 
-    fn calm(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         self.evidence < self.threshold * CALM
     }
 
-    fn rejoin(&mut self) {
+    fn start_probation(&mut self) {
         self.evidence = self.threshold * PROBATION;
     }
 }
--- a/agatetrestle/src/placing/cost.rs
+++ b/agatetrestle/src/placing/cost.rs
@@ -3,10 +3,10 @@
 //! The cost is the time until the answer is expected, plus the time that the call takes from the
 //! others on that engine; see docs/design/006-placing-and-retention.md.
 
-use crate::placing::Choice;
 use crate::placing::Fetch;
+use crate::placing::Placement;
+use crate::placing::PlacementRequest;
 use crate::placing::Placer;
-use crate::placing::Wanted;
 use crate::placing::least_load::LeastLoad;
 use crate::scheduler::config::SchedulerConfig;
 use crate::scheduler::event::BackendKey;
@@ -46,13 +46,13 @@
     }
 
     /// The holder of the prefix, its peers in declared order and random others; all if they are few.
-    fn candidates(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &Wanted<'_>) -> Vec<BackendKey> {
+    fn candidates(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &PlacementRequest<'_>) -> Vec<BackendKey> {
         let pool = &fleet.pools[pool];
         if pool.open.len() <= SMALL_POOL {
             return pool.open.clone();
         }
         let mut chosen = Vec::with_capacity(MAX_CANDIDATES);
-        for key in [wanted.home, wanted.near].into_iter().flatten() {
+        for key in [wanted.last_server, wanted.root_server].into_iter().flatten() {
             push_open(&mut chosen, fleet, key);
         }
         let first = self.rng.index(pool.open.len());
@@ -66,15 +66,15 @@
     }
 
     /// Prices a server as if it had room.
-    fn price(&self, server: &Server, key: BackendKey, wanted: &Wanted<'_>) -> Priced {
+    fn price(&self, server: &Server, key: BackendKey, wanted: &PlacementRequest<'_>) -> Priced {
         let cfg = &self.cfg;
-        let held = server.residency.matching(wanted.blocks);
+        let held = server.residency.prefix_len(wanted.blocks);
         let missing = missing_tokens(wanted, held);
         let (fetch, fetched) = self.fetch(key, wanted, missing);
         let computed = missing - fetched;
         let divisor = match fetch {
             Fetch::Move(_) => (cfg.import_divisor / 2).max(1),
-            Fetch::Import | Fetch::Nothing => cfg.import_divisor.max(1),
+            Fetch::Import | Fetch::None => cfg.import_divisor.max(1),
         };
         let prefill = (computed + fetched / divisor) * cfg.prefill_per_token;
         let queue = server.pending_prefill * cfg.prefill_per_token;
@@ -86,35 +86,40 @@
         Priced { key, cost, fetch }
     }
 
-    fn fetch(&self, key: BackendKey, wanted: &Wanted<'_>, missing: u64) -> (Fetch, u64) {
+    fn fetch(&self, key: BackendKey, wanted: &PlacementRequest<'_>, missing: u64) -> (Fetch, u64) {
         if !self.moves {
-            return (Fetch::Nothing, 0);
+            return (Fetch::None, 0);
         }
         match wanted.place {
             Place::Held(from) if from != key => (Fetch::Move(from), wanted.own_tokens.min(missing)),
             _ if wanted.exported_tokens > 0 => (Fetch::Import, wanted.exported_tokens.min(missing)),
-            _ => (Fetch::Nothing, 0),
+            _ => (Fetch::None, 0),
         }
     }
 
     /// What it costs to bring back later what has to make room now.
-    fn pressure(&self, server: &Server, wanted: &Wanted<'_>) -> u64 {
-        let held = server.pinned_tokens + server.idle_tokens + need(wanted);
+    fn pressure(&self, server: &Server, wanted: &PlacementRequest<'_>) -> u64 {
+        let held = server.pinned_tokens + server.idle_tokens + required_tokens(wanted);
         let over = held.saturating_sub(server.cache_budget(self.cfg.cache_fill));
-        over.min(need(wanted)) * self.cfg.prefill_per_token / self.cfg.import_divisor.max(1)
+        over.min(required_tokens(wanted)) * self.cfg.prefill_per_token / self.cfg.import_divisor.max(1)
     }
 
-    fn has_memory(&self, server: &Server, wanted: &Wanted<'_>) -> bool {
+    fn has_memory(&self, server: &Server, wanted: &PlacementRequest<'_>) -> bool {
         let budget = server.cache_budget(self.cfg.cache_fill);
-        server.running == 0 || server.pinned_tokens + need(wanted) <= budget
+        server.running == 0 || server.pinned_tokens + required_tokens(wanted) <= budget
     }
 
     /// The price of waiting until the home of the program, or of the one that started it, has room.
-    fn price_of_holding(&self, fleet: &Fleet, pool: PoolKey, wanted: &Wanted<'_>) -> Option<Priced> {
+    fn price_of_holding(
+        &self,
+        fleet: &Fleet,
+        pool: PoolKey,
+        wanted: &PlacementRequest<'_>,
+    ) -> Option<Priced> {
         if wanted.waited > self.cfg.hold_bound {
             return None;
         }
-        let home = wanted.home.or(wanted.near)?;
+        let home = wanted.last_server.or(wanted.root_server)?;
         let server = fleet.servers.get(home).filter(|s| s.usable() && s.pool == pool)?;
         if server.running < server.limit && self.has_memory(server, wanted) {
             return None;
@@ -129,7 +134,7 @@
 }
 
 impl Placer for CostPlacer {
-    fn place(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &Wanted<'_>) -> Choice {
+    fn place(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &PlacementRequest<'_>) -> Placement {
         if wanted.blocks.is_empty() {
             return LeastLoad.place(fleet, pool, wanted);
         }
@@ -142,24 +147,24 @@
             .min_by_key(|priced| (priced.cost, priced.key));
         let holding = self.price_of_holding(fleet, pool, wanted);
         match (best, holding) {
-            (Some(best), Some(holding)) if holding.cost < best.cost => Choice::Hold(holding.key),
-            (Some(best), _) => Choice::Send { to: best.key, fetch: best.fetch },
-            (None, Some(holding)) => Choice::Hold(holding.key),
-            (None, None) => Choice::Full,
+            (Some(best), Some(holding)) if holding.cost < best.cost => Placement::WaitFor(holding.key),
+            (Some(best), _) => Placement::Send { to: best.key, fetch: best.fetch },
+            (None, Some(holding)) => Placement::WaitFor(holding.key),
+            (None, None) => Placement::NoCapacity,
         }
     }
 }
 
 /// Tokens that the call adds to what its engine must keep: shared prefixes are there anyhow.
 #[must_use]
-pub fn need(wanted: &Wanted<'_>) -> u64 {
+pub fn required_tokens(wanted: &PlacementRequest<'_>) -> u64 {
     let shared = wanted.shared_tokens.min(wanted.prompt_tokens);
     wanted.prompt_tokens - shared + wanted.output_tokens
 }
 
 /// Prompt tokens beyond the blocks that are held.
 #[must_use]
-pub fn missing_tokens(wanted: &Wanted<'_>, held: usize) -> u64 {
+pub fn missing_tokens(wanted: &PlacementRequest<'_>, held: usize) -> u64 {
     let count = u64::try_from(wanted.blocks.len()).unwrap_or(u64::MAX).max(1);
     let held = u64::try_from(held).unwrap_or(u64::MAX);
     wanted.prompt_tokens - (wanted.prompt_tokens / count * held).min(wanted.prompt_tokens)
--- a/agatetrestle/src/placing/least_load.rs
+++ b/agatetrestle/src/placing/least_load.rs
@@ -1,9 +1,9 @@
 //! The least loaded open server, by this node's own calls and the last load report.
 
-use crate::placing::Choice;
 use crate::placing::Fetch;
+use crate::placing::Placement;
+use crate::placing::PlacementRequest;
 use crate::placing::Placer;
-use crate::placing::Wanted;
 use crate::scheduler::fleet::Fleet;
 use crate::scheduler::fleet::PoolKey;
 
@@ -12,9 +12,9 @@
 pub struct LeastLoad;
 
 impl Placer for LeastLoad {
-    fn place(&mut self, fleet: &Fleet, pool: PoolKey, _wanted: &Wanted<'_>) -> Choice {
+    fn place(&mut self, fleet: &Fleet, pool: PoolKey, _wanted: &PlacementRequest<'_>) -> Placement {
         let open = &fleet.pools[pool].open;
         let least = open.iter().min_by_key(|key| (fleet.servers[**key].load(), **key));
-        least.map_or(Choice::Full, |to| Choice::Send { to: *to, fetch: Fetch::Nothing })
+        least.map_or(Placement::NoCapacity, |to| Placement::Send { to: *to, fetch: Fetch::None })
     }
 }
--- a/agatetrestle/src/placing/mod.rs
+++ b/agatetrestle/src/placing/mod.rs
@@ -15,7 +15,7 @@
 
 /// A call that wants a place.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct PlacementRequest<'a> {
     /// Blocks of its prompt, empty for a service.
     pub blocks: &'a [u64],
     /// Tokens of its prompt.
@@ -31,9 +31,9 @@
     /// Where its own tokens are.
     pub place: Place,
     /// The server of the program's last call.
-    pub home: Option<BackendKey>,
+    pub last_server: Option<BackendKey>,
     /// The server of the last call of its outermost program.
-    pub near: Option<BackendKey>,
+    pub root_server: Option<BackendKey>,
     /// How long it has waited.
     pub waited: Duration,
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fetch {
     /// It is there, or what is missing is computed.
-    Nothing,
+    None,
     /// It is imported from where it was exported to.
     Import,
     /// It is exported from this server and then imported.
@@ -51,7 +51,7 @@
 
 /// What became of a call that wanted a place.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Choice {
+pub enum Placement {
     /// It is sent.
     Send {
         /// Where to.
@@ -60,13 +60,13 @@
         fetch: Fetch,
     },
     /// It had better wait for this server.
-    Hold(BackendKey),
+    WaitFor(BackendKey),
     /// No server has room for it.
-    Full,
+    NoCapacity,
 }
 
 /// Chooses places.
 pub trait Placer: fmt::Debug {
     /// Chooses among the open servers of a pool.
-    fn place(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &Wanted<'_>) -> Choice;
+    fn place(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &PlacementRequest<'_>) -> Placement;
 }
--- a/agatetrestle/src/placing/residency.rs
+++ b/agatetrestle/src/placing/residency.rs
@@ -39,13 +39,13 @@
 
 impl Residency {
     /// Sets how many blocks the engine can hold.
-    pub fn resize(&mut self, capacity: usize) {
+    pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
     /// How many leading blocks are believed held. A held block implies those before it.
     #[must_use]
-    pub fn matching(&self, blocks: &[u64]) -> usize {
+    pub fn prefix_len(&self, blocks: &[u64]) -> usize {
         blocks.partition_point(|block| self.young.contains(block) || self.old.contains(block))
     }
 
--- a/agatetrestle/src/placing/sticky.rs
+++ b/agatetrestle/src/placing/sticky.rs
@@ -1,9 +1,9 @@
 //! Sticky sessions: a program stays with the server that was least loaded when it began.
 
-use crate::placing::Choice;
 use crate::placing::Fetch;
+use crate::placing::Placement;
+use crate::placing::PlacementRequest;
 use crate::placing::Placer;
-use crate::placing::Wanted;
 use crate::placing::least_load::LeastLoad;
 use crate::scheduler::fleet::Fleet;
 use crate::scheduler::fleet::PoolKey;
@@ -13,16 +13,16 @@
 pub struct Sticky;
 
 impl Placer for Sticky {
-    fn place(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &Wanted<'_>) -> Choice {
+    fn place(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &PlacementRequest<'_>) -> Placement {
         let usable = |key: &_| fleet.servers.get(*key).is_some_and(|s| s.usable() && s.pool == pool);
-        let Some(home) = wanted.home.or(wanted.near).filter(usable) else {
+        let Some(home) = wanted.last_server.or(wanted.root_server).filter(usable) else {
             return LeastLoad.place(fleet, pool, wanted);
         };
         let server = &fleet.servers[home];
         if server.running < server.limit {
-            Choice::Send { to: home, fetch: Fetch::Nothing }
+            Placement::Send { to: home, fetch: Fetch::None }
         } else {
-            Choice::Hold(home)
+            Placement::WaitFor(home)
         }
     }
 }
--- a/agatetrestle/src/scheduler/core/dispatch.rs
+++ b/agatetrestle/src/scheduler/core/dispatch.rs
@@ -5,11 +5,11 @@
 use crate::admission::queue::Owner;
 use crate::admission::queue::Ticket;
 use crate::clock::Timestamp;
-use crate::placing::Choice;
 use crate::placing::Fetch;
-use crate::placing::Wanted;
+use crate::placing::Placement;
+use crate::placing::PlacementRequest;
 use crate::placing::cost::missing_tokens;
-use crate::placing::cost::need;
+use crate::placing::cost::required_tokens;
 use crate::scheduler::core::Core;
 use crate::scheduler::core::Entry;
 use crate::scheduler::core::InService;
@@ -58,13 +58,13 @@
                 continue;
             }
             match self.choose(now, pool, ticket.call) {
-                Choice::Send { to, fetch } => self.send(now, ticket.call, to, fetch, decisions),
-                Choice::Hold(server) => {
+                Placement::Send { to, fetch } => self.send(now, ticket.call, to, fetch, decisions),
+                Placement::WaitFor(server) => {
                     self.fleet.servers[server].held_back += 1;
                     held_for.push(server);
                     left.push((owner, ticket));
                 }
-                Choice::Full => left.push((owner, ticket)),
+                Placement::NoCapacity => left.push((owner, ticket)),
             }
         }
         for server in held_for {
@@ -112,7 +112,7 @@
         quiet || pool.outliers < (engines * self.cfg.outliers_per_ten / 10).max(1)
     }
 
-    fn choose(&mut self, now: Timestamp, pool: PoolKey, call: CallKey) -> Choice {
+    fn choose(&mut self, now: Timestamp, pool: PoolKey, call: CallKey) -> Placement {
         let entry = &self.calls[call];
         let wanted = wanted(&self.programs, entry, now);
         self.parts.placer.place(&self.fleet, pool, &wanted)
@@ -130,15 +130,15 @@
         let program = entry.program;
         let wanted = wanted(&self.programs, entry, now);
         let (uncached, pinned, blocks) = {
-            let held = self.fleet.servers[to].residency.matching(wanted.blocks);
+            let held = self.fleet.servers[to].residency.prefix_len(wanted.blocks);
             let missing = missing_tokens(&wanted, held);
             let fetched = match fetch {
-                Fetch::Nothing => 0,
+                Fetch::None => 0,
                 Fetch::Import => wanted.exported_tokens.min(missing),
                 Fetch::Move(_) => wanted.own_tokens.min(missing),
             };
             let divisor = self.cfg.import_divisor.max(1);
-            (missing - fetched + fetched / divisor, need(&wanted), held)
+            (missing - fetched + fetched / divisor, required_tokens(&wanted), held)
         };
         let is_model = matches!(entry.call.work, Work::Model { .. });
         let charged = self.expected_service(entry);
@@ -198,7 +198,7 @@
             (_, Place::Held(from)) if from != to => self.release_everywhere(key, decisions),
             _ => self.unpark(key),
         }
-        if fetch == Fetch::Nothing || !self.parts.retention {
+        if fetch == Fetch::None || !self.parts.retention {
             return;
         }
         if let Some(program) = self.programs.get(key) {
@@ -226,7 +226,7 @@
     }
 }
 
-fn wanted<'a>(programs: &'a Programs, entry: &'a Entry, now: Timestamp) -> Wanted<'a> {
+fn wanted<'a>(programs: &'a Programs, entry: &'a Entry, now: Timestamp) -> PlacementRequest<'a> {
     let program = programs.get(entry.program);
     let root = programs.get(entry.root);
     let (blocks, prompt_tokens): (&[u64], u64) = match &entry.call.work {
@@ -235,7 +235,7 @@
     };
     let exported = |program: &&Program| program.exported;
     let exported_tokens = program.filter(exported).or(root.filter(exported)).map_or(0, |p| p.tokens);
-    Wanted {
+    PlacementRequest {
         blocks,
         prompt_tokens,
         output_tokens: entry.expected_output,
@@ -243,8 +243,8 @@
         shared_tokens: program.map_or(0, |program| program.shared_tokens),
         exported_tokens,
         place: program.map(|program| program.place).unwrap_or_default(),
-        home: program.and_then(|program| program.home),
-        near: root.and_then(|root| root.home),
+        last_server: program.and_then(|program| program.home),
+        root_server: root.and_then(|root| root.home),
         waited: now.since(entry.submitted),
     }
 }
--- a/agatetrestle/src/scheduler/core/ejection.rs
+++ b/agatetrestle/src/scheduler/core/ejection.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::clock::Timestamp;
-use crate::health::Watch;
-use crate::health::most_out;
-use crate::health::sequential::Sequential;
+use crate::health::OutlierDetector;
+use crate::health::max_ejected;
+use crate::health::sequential::SequentialTest;
 use crate::scheduler::core::Core;
 use crate::scheduler::core::Entry;
 use crate::scheduler::event::BackendKey;
@@ -26,18 +26,20 @@
             Work::Model { prompt_tokens, .. } => u64::from(*prompt_tokens) + entry.expected_output,
             Work::Service { .. } => 0,
         };
-        let risk = self.risk.of(tokens);
+        let risk = self.risk.rate(tokens);
         let Some(server) = self.fleet.servers.get_mut(key) else {
             return;
         };
         let watched = self.fleet.pools[server.pool].members.len();
         let watched = f64::from(u32::try_from(watched).unwrap_or(u32::MAX)).max(1.0);
-        let fresh = || -> Box<dyn Watch> { Box::new(Sequential::new(ODDS_RATIO, FALSE_ALARM / watched)) };
+        let fresh = || -> Box<dyn OutlierDetector> {
+            Box::new(SequentialTest::new(ODDS_RATIO, FALSE_ALARM / watched))
+        };
         let watch = server.watch.get_or_insert_with(fresh);
         watch.record(failed, risk);
-        let (alarm, calm) = (watch.alarm(), watch.calm());
+        let (alarm, calm) = (watch.should_eject(), watch.is_healthy());
         if calm {
-            self.risk.learn(tokens, failed);
+            self.risk.record(tokens, failed);
             server.ejections = 0;
         }
         if alarm {
@@ -52,7 +54,7 @@
             if let Some(server) = self.fleet.servers.get_mut(key) {
                 server.ejected = false;
                 if let Some(watch) = server.watch.as_mut() {
-                    watch.rejoin();
+                    watch.start_probation();
                 }
             }
             self.fleet.refresh(key);
@@ -65,7 +67,7 @@
         let members = &self.fleet.pools[pool].members;
         let out = members.iter().filter(|key| self.fleet.servers[**key].ejected).count();
         let server = &self.fleet.servers[key];
-        if server.ejected || out >= most_out(members.len()) {
+        if server.ejected || out >= max_ejected(members.len()) {
             return;
         }
         let doublings = server.ejections.min(MOST_DOUBLINGS);
--- a/agatetrestle/src/scheduler/core/mod.rs
+++ b/agatetrestle/src/scheduler/core/mod.rs
@@ -23,7 +23,7 @@
 use crate::admission::queue::Ticket;
 use crate::admission::retry::RetryBudgets;
 use crate::clock::Timestamp;
-use crate::health::risk::Risk;
+use crate::health::failure_rates::FailureRates;
 use crate::placing::Placer;
 use crate::retention::returns::Returns;
 use crate::scheduler::BackendState;
@@ -110,7 +110,7 @@
     delayed: BTreeSet<(Timestamp, CallKey)>,
     resting: BTreeSet<(Timestamp, BackendKey)>,
     ejected: BTreeSet<(Timestamp, BackendKey)>,
-    risk: Risk,
+    risk: FailureRates,
     returns: Returns,
     retries: RetryBudgets,
     rng: Random,
@@ -138,7 +138,7 @@
             delayed: BTreeSet::new(),
             resting: BTreeSet::new(),
             ejected: BTreeSet::new(),
-            risk: Risk::default(),
+            risk: FailureRates::default(),
             returns: Returns::default(),
             rng: Random::new(seed),
             sequence: 0,
--- a/agatetrestle/src/scheduler/core/outcome.rs
+++ b/agatetrestle/src/scheduler/core/outcome.rs
@@ -42,7 +42,7 @@
         if let Work::Model { blocks, prompt_tokens, .. } = &entry.call.work {
             if let Some(size) = prompt_tokens.checked_div(u32::try_from(blocks.len()).unwrap_or(0)) {
                 let capacity = (server.cache_budget(PERCENT) / u64::from(size.max(1))).min(MOST_BLOCKS);
-                server.residency.resize(usize::try_from(capacity).unwrap_or(usize::MAX));
+                server.residency.set_capacity(usize::try_from(capacity).unwrap_or(usize::MAX));
             }
             server.residency.insert(blocks);
         }
--- a/agatetrestle/src/scheduler/fleet.rs
+++ b/agatetrestle/src/scheduler/fleet.rs
@@ -10,7 +10,7 @@
 use slotmap::new_key_type;
 
 use crate::clock::Timestamp;
-use crate::health::Watch;
+use crate::health::OutlierDetector;
 use crate::placing::residency::Residency;
 use crate::scheduler::event::Backend;
 use crate::scheduler::event::BackendKey;
@@ -58,7 +58,7 @@
     /// No new call before this time.
     pub resting_until: Timestamp,
     /// The watch over its outcomes.
-    pub watch: Option<Box<dyn Watch>>,
+    pub watch: Option<Box<dyn OutlierDetector>>,
     /// How often it was ejected in a row.
     pub ejections: u32,
     /// Whether it was found unhealthy.
--- a/agatetrestle_replay/src/detect.rs
+++ b/agatetrestle_replay/src/detect.rs
@@ -6,10 +6,10 @@
 
 use std::fmt::Write;
 
-use agatetrestle::health::Watch;
-use agatetrestle::health::average::Average;
-use agatetrestle::health::consecutive::Consecutive;
-use agatetrestle::health::sequential::Sequential;
+use agatetrestle::health::OutlierDetector;
+use agatetrestle::health::average::MovingAverage;
+use agatetrestle::health::consecutive::ConsecutiveFailures;
+use agatetrestle::health::sequential::SequentialTest;
 
 use crate::random::Random;
 
@@ -37,12 +37,12 @@
     Trouble { name: "all calls fail", odds: 1.0, floor: 1.0 },
 ];
 
-type Make = fn(f64) -> Box<dyn Watch>;
+type Make = fn(f64) -> Box<dyn OutlierDetector>;
 
 const DETECTORS: [(&str, Make, f64, f64); 3] = [
-    ("consecutive", |limit| Box::new(Consecutive::new(crate::random::whole(limit))), 1.0, 40.0),
-    ("moving average", |limit| Box::new(Average::new(AVERAGE_WEIGHT, limit)), 0.01, 0.99),
-    ("sequential", |limit| Box::new(Sequential::with_threshold(ODDS_RATIO, limit)), 0.5, 20.0),
+    ("consecutive", |limit| Box::new(ConsecutiveFailures::new(crate::random::whole(limit))), 1.0, 40.0),
+    ("moving average", |limit| Box::new(MovingAverage::new(AVERAGE_WEIGHT, limit)), 0.01, 0.99),
+    ("sequential", |limit| Box::new(SequentialTest::with_threshold(ODDS_RATIO, limit)), 0.5, 20.0),
 ];
 
 fn risk(rng: &mut Random) -> f64 {
@@ -64,7 +64,7 @@
     for _ in 0..HEALTHY_CALLS {
         let risk = risk(&mut rng);
         watch.record(rng.happens(risk), risk);
-        if watch.alarm() {
+        if watch.should_eject() {
             ejected += 1;
             watch = make(limit);
         }
@@ -101,7 +101,7 @@
         let odds = trouble.odds * risk / (1.0 - risk);
         let failing = (odds / (1.0 + odds)).max(trouble.floor);
         watch.record(rng.happens(failing), risk);
-        if watch.alarm() {
+        if watch.should_eject() {
             return call;
         }
     }
