--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -41,7 +41,7 @@
 use crate::dispatch::Decision;
 use crate::dispatch::Dispatch;
 use crate::dispatch::Instance;
-use crate::dispatch::Outcome;
+use crate::dispatch::RequestOutcome;
 use crate::dispatch::ServerKey;
 use crate::gateway::place::Found;
 use crate::gateway::place::TurnedAway;
@@ -204,8 +204,10 @@
                 Decision::Reject { ticket, retry_after, reason } => {
                     self.deliver(ticket, Err(TurnedAway { retry_after, reason }));
                 }
-                Decision::Forget { address } => self.client.forget(address),
-                Decision::Suspect { server, until, usual } => self.note_suspect(server, until, usual),
+                Decision::DropConnections { address } => self.client.forget(address),
+                Decision::Eject { server, until, failure_rate } => {
+                    self.note_suspect(server, until, failure_rate);
+                }
             }
         }
     }
@@ -232,7 +234,7 @@
     /// Gives back a place that nobody used.
     fn give_back(&self, server: ServerKey) {
         let now = self.clock.now();
-        let decisions = self.dispatch.borrow_mut().finish(now, server, Outcome::Abandoned);
+        let decisions = self.dispatch.borrow_mut().finish(now, server, RequestOutcome::Cancelled);
         self.carry_out(decisions);
     }
 
@@ -248,9 +250,9 @@
         match self.wire.read_table(document.text.as_bytes()) {
             Ok(table) => {
                 info!("Routes of version {} are in force, revision {}.", table.version, document.revision);
-                self.bounds.head.set(table.limits.head);
-                self.bounds.head_time.set(table.limits.head_time);
-                self.bounds.idle.set(table.limits.idle);
+                self.bounds.head.set(table.limits.max_header_bytes);
+                self.bounds.head_time.set(table.limits.header_timeout);
+                self.bounds.idle.set(table.limits.idle_timeout);
                 self.table.replace(Some(Rc::new(table)));
             }
             // Control accepted it, so this node is of another build; it goes on with the table it has.
--- a/agatetrestle/src/gateway/reserve.rs
+++ b/agatetrestle/src/gateway/reserve.rs
@@ -27,7 +27,7 @@
 
 /// Whether a request counts against the allowance of its team.
 fn is_limited(job: &Job) -> bool {
-    job.team.as_ref().is_some_and(|team| team.allowance.is_some())
+    job.team.as_ref().is_some_and(|team| team.rate_limit.is_some())
 }
 
 /// Takes a request that is no turn from its team's account.
@@ -51,7 +51,7 @@
     let opening = AdmissionParams {
         service: job.service.clone(),
         route: job.route.name.clone(),
-        places: gateway.dispatch.borrow().places(&job.service),
+        places: gateway.dispatch.borrow().total_slots(&job.service),
         charge: is_limited(job),
         patience: millis(job.until.since(gateway.clock.now())),
         finish_in: job.call.finish_in.map(millis),
--- a/agatetrestle/src/gateway/wire.rs
+++ b/agatetrestle/src/gateway/wire.rs
@@ -13,9 +13,9 @@
 
 use crate::cluster::message::Emptying;
 use crate::dispatch::Instance;
-use crate::dispatch::Load;
+use crate::dispatch::ServerLoad;
+use crate::routing::ApiKey;
 use crate::routing::InvalidTable;
-use crate::routing::Key;
 use crate::routing::RouteTable;
 
 /// What a request says beside its route and body.
@@ -36,7 +36,7 @@
     /// The turn that it goes on from.
     pub previous_turn: Option<Arc<str>>,
     /// Key of the caller's team.
-    pub key: Option<Key>,
+    pub key: Option<ApiKey>,
     /// Stands for the line of turns or prompt that the request shares with others.
     pub affinity: Option<u64>,
 }
@@ -64,7 +64,7 @@
     /// Whether the backend server says that it did not run the request.
     pub not_run: bool,
     /// Load of the server by all nodes.
-    pub load: Option<Load>,
+    pub load: Option<ServerLoad>,
 }
 
 /// A call of an operator.
