--- a/agatetrestle/src/allowance/mod.rs
+++ b/agatetrestle/src/allowance/mod.rs
@@ -59,7 +59,7 @@
 }
 
 impl RateLimiter {
-    /// RateLimiter that know no team yet.
+    /// A limiter that knows no team yet.
     #[must_use]
     pub fn new(bounds: AllowanceBounds) -> Self {
         Self { bounds, term: 0, teams: HashMap::new() }
--- a/agatetrestle/src/attempts/mod.rs
+++ b/agatetrestle/src/attempts/mod.rs
@@ -5,7 +5,7 @@
 //! that may not be repeated gets a connection of its own, and what happens on silence, stands in
 //! docs/design/009-silent-connections.md.
 //!
-//! EngineClient receive a chat-completions request with the header `Agatetrestle-Priority` (a decimal
+//! Engines receive a chat-completions request with the header `Agatetrestle-Priority` (a decimal
 //! number, higher first), and every backend server receives `Agatetrestle-Program`,
 //! `Agatetrestle-Call` and the caller's `Idempotency-Key`. A backend server that answers with
 //! `Agatetrestle-Outcome: not_run` says that it did not start the call.
