--- a/agatetrestle/src/attempts/admin.rs
+++ b/agatetrestle/src/attempts/admin.rs
@@ -1,8 +1,8 @@
-//! What goes to and fro with backend servers beside calls: load reports, cache events and cache orders.
+//! Polls backend servers for load reports and cache changes, and sends cache commands to engines.
 //!
-//! All of it is harmless to lose. Reports lag and cache events have gaps, so that the scheduler takes both as
-//! hints; an order that got lost leaves a prefix in an engine's memory until the engine evicts it, or until
-//! the scheduler orders it again. See docs/design/006-placing-and-retention.md.
+//! Any of these messages may be lost. The scheduler treats reports and cache changes as hints. After a lost
+//! command a prefix stays in an engine's memory until the engine evicts it or the scheduler repeats the
+//! command. See docs/design/006-placing-and-retention.md.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -32,125 +32,126 @@
 use crate::scheduler::event::CacheOrder;
 use crate::scheduler::event::Event;
 
-/// Time between two reports of one backend server.
-const INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two polls of a backend server.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for one report or order.
-const PATIENCE: Duration = Duration::from_secs(1);
+const ADMIN_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for which a backend server that gives no reports is left alone.
-const LEFT_ALONE: Duration = Duration::from_mins(1);
+/// Time until a backend server without report support is polled again.
+const UNSUPPORTED_RETRY_DELAY: Duration = Duration::from_mins(1);
 
-/// Reports and orders under way at once.
-const AT_ONCE: usize = 32;
+/// Applies separately to polls and to commands.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 
-/// Orders that may wait; more are dropped, since each is harmless to lose.
-const WAITING: usize = 4096;
+/// Commands beyond this are dropped.
+const COMMAND_QUEUE_CAPACITY: usize = 4096;
 
-/// Keeps track of reports and waiting orders.
+/// Polls reports and queues cache commands.
 pub(super) struct BackendAdmin {
     engines: Rc<dyn EngineClient>,
     timer: Rc<dyn Timer>,
     clock: Clock,
-    targets: RefCell<Vec<(Arc<str>, BackendEndpoint)>>,
-    seen: RefCell<HashMap<Arc<str>, Seen>>,
-    orders: Sender<(ProgramId, EngineCommand, SocketAddr)>,
-    waiting: Receiver<(ProgramId, EngineCommand, SocketAddr)>,
+    polled: RefCell<Vec<(Arc<str>, BackendEndpoint)>>,
+    poll_states: RefCell<HashMap<Arc<str>, PollState>>,
+    sender: Sender<(ProgramId, EngineCommand, SocketAddr)>,
+    receiver: Receiver<(ProgramId, EngineCommand, SocketAddr)>,
     dropped: Cell<u64>,
 }
 
-/// What was last seen of a backend server.
+/// Polling state of a backend server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct PollState {
     position: u64,
-    left_alone_until: Timestamp,
+    retry_at: Timestamp,
 }
 
 impl BackendAdmin {
     pub(super) fn new(engines: Rc<dyn EngineClient>, timer: Rc<dyn Timer>, clock: Clock) -> Self {
-        let (orders, waiting) = channel::bounded(WAITING);
+        let (sender, receiver) = channel::bounded(COMMAND_QUEUE_CAPACITY);
         Self {
             engines,
             timer,
             clock,
-            targets: RefCell::default(),
-            seen: RefCell::default(),
-            orders,
-            waiting,
+            polled: RefCell::default(),
+            poll_states: RefCell::default(),
+            sender,
+            receiver,
             dropped: Cell::new(0),
         }
     }
 
-    /// The backend servers that report: every engine, and services that are declared to.
-    pub(super) fn declare(&self, targets: &HashMap<Arc<str>, BackendEndpoint>) {
-        let reporting = targets.iter().filter(|(_, target)| target.reports_load);
-        let mut reporting: Vec<_> = reporting.map(|(name, target)| (name.clone(), *target)).collect();
+    /// Sets the backend servers to poll: those that report their load.
+    pub(super) fn set_endpoints(&self, endpoints: &HashMap<Arc<str>, BackendEndpoint>) {
+        let reporting = endpoints.iter().filter(|(_, endpoint)| endpoint.reports_load);
+        let mut reporting: Vec<_> = reporting.map(|(name, endpoint)| (name.clone(), *endpoint)).collect();
         reporting.sort_by(|(a, _), (b, _)| a.cmp(b));
-        self.seen.borrow_mut().retain(|name, _| targets.contains_key(name));
-        *self.targets.borrow_mut() = reporting;
+        self.poll_states.borrow_mut().retain(|name, _| endpoints.contains_key(name));
+        *self.polled.borrow_mut() = reporting;
     }
 
-    /// Takes in an order for [`BackendAdmin::carry_out`].
-    pub(super) fn order(&self, program: ProgramId, order: EngineCommand, address: SocketAddr) {
-        if self.orders.try_send((program, order, address)).is_err() {
+    /// Queues a command for [`BackendAdmin::send_commands`].
+    pub(super) fn enqueue(&self, program: ProgramId, command: EngineCommand, address: SocketAddr) {
+        if self.sender.try_send((program, command, address)).is_err() {
             self.dropped.set(self.dropped.get() + 1);
-            log::warn!("{} orders about caches were dropped so far.", self.dropped.get());
+            log::warn!("Cache command queue is full; {} commands dropped so far.", self.dropped.get());
         }
     }
 
-    /// Carries out orders, for as long as the node runs.
-    pub(super) async fn carry_out(&self) {
-        let orders = Box::pin(self.waiting.clone());
-        let sent = orders.for_each_concurrent(AT_ONCE, async |(program, order, address)| {
-            let sending = self.engines.order(address, &program, order);
-            match with_timeout(&*self.timer, PATIENCE, sending).await {
-                Some(Ok(())) => {}
-                Some(Err(e)) => log::debug!("An order about a cache failed: {e}."),
-                None => log::debug!("An order about a cache got no answer in time."),
-            }
-        });
-        sent.await;
+    /// Sends queued commands, for as long as the node runs.
+    pub(super) async fn send_commands(&self) {
+        let commands = Box::pin(self.receiver.clone());
+        let sending =
+            commands.for_each_concurrent(MAX_CONCURRENT_REQUESTS, async |(program, command, address)| {
+                let request = self.engines.cache_command(address, &program, command);
+                match with_timeout(&*self.timer, ADMIN_REQUEST_TIMEOUT, request).await {
+                    Some(Ok(())) => {}
+                    Some(Err(e)) => log::debug!("Cache command failed: {e}."),
+                    None => log::debug!("Cache command timed out."),
+                }
+            });
+        sending.await;
     }
 
-    /// Asks for reports, for as long as the node runs.
-    pub(super) async fn ask(&self, dispatcher: &Dispatcher) {
+    /// Polls reports, for as long as the node runs.
+    pub(super) async fn poll_reports(&self, dispatcher: &Dispatcher) {
         loop {
-            self.timer.after(INTERVAL).await;
-            let targets = self.targets.borrow().clone();
-            let asked = iter(targets).for_each_concurrent(AT_ONCE, async |(name, target)| {
-                self.ask_one(dispatcher, &name, target).await;
-            });
-            asked.await;
+            self.timer.after(POLL_INTERVAL).await;
+            let polled = self.polled.borrow().clone();
+            let polling =
+                iter(polled).for_each_concurrent(MAX_CONCURRENT_REQUESTS, async |(name, endpoint)| {
+                    self.poll_report(dispatcher, &name, endpoint).await;
+                });
+            polling.await;
         }
     }
 
-    async fn ask_one(&self, dispatcher: &Dispatcher, name: &Arc<str>, target: BackendEndpoint) {
-        let mut seen = self.seen.borrow().get(name).copied().unwrap_or_default();
+    async fn poll_report(&self, dispatcher: &Dispatcher, name: &Arc<str>, endpoint: BackendEndpoint) {
+        let mut state = self.poll_states.borrow().get(name).copied().unwrap_or_default();
         let now = self.clock.now();
-        if now < seen.left_alone_until {
+        if now < state.retry_at {
             return;
         }
-        let asking = self.engines.report(target.address, seen.position);
-        match with_timeout(&*self.timer, PATIENCE, asking).await {
+        let request = self.engines.report(endpoint.address, state.position);
+        match with_timeout(&*self.timer, ADMIN_REQUEST_TIMEOUT, request).await {
             Some(Ok(Some(report))) => {
-                seen.position = report.position;
+                state.position = report.position;
                 dispatcher.step(Event::Load { backend: name.clone(), load: report.load });
-                if target.kind == BackendKind::Engine {
+                if endpoint.kind == BackendKind::Engine {
                     for change in report.changes {
                         dispatcher.step(Event::Cache { backend: name.clone(), change });
                     }
                 }
             }
-            Some(Ok(None)) => seen.left_alone_until = now + LEFT_ALONE,
-            Some(Err(e)) => log::debug!("{name} gave no report: {e}."),
-            None => log::debug!("{name} gave no report in time."),
+            Some(Ok(None)) => state.retry_at = now + UNSUPPORTED_RETRY_DELAY,
+            Some(Err(e)) => log::debug!("Report request to {name} failed: {e}."),
+            None => log::debug!("Report request to {name} timed out."),
         }
-        self.seen.borrow_mut().insert(name.clone(), seen);
+        self.poll_states.borrow_mut().insert(name.clone(), state);
     }
 }
 
-/// The order with the program and the engine that it is about.
-pub(super) fn split(order: CacheOrder) -> (ProgramId, BackendKey, EngineCommand) {
+/// Splits a cache order into its program, its engine and the command to send.
+pub(super) fn into_command(order: CacheOrder) -> (ProgramId, BackendKey, EngineCommand) {
     match order {
         CacheOrder::Release { program, backend } => (program, backend, EngineCommand::Release),
         CacheOrder::Export { program, backend } => (program, backend, EngineCommand::Export),
--- a/agatetrestle/src/attempts/call.rs
+++ b/agatetrestle/src/attempts/call.rs
@@ -1,4 +1,4 @@
-//! A call on its way to the scheduler, who asked for it and what became of it.
+//! A call as submitted to the dispatcher, its caller and its outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,85 +15,85 @@
 use crate::scheduler::event::RefusalReason;
 use crate::scheduler::event::Work;
 
-/// A call that wants to be sent.
+/// A call to be sent to a backend server.
 #[derive(Clone, Debug)]
 pub struct OutgoingCall {
-    /// The outermost program of which the caller's program is a sub-agent, or the program itself.
+    /// The top-level program of which the calling program is a sub-agent, or the program itself.
     pub root: ProgramId,
-    /// Team within the partner.
+    /// Team of the partner.
     pub team: Arc<str>,
     /// Declared class.
     pub class: Arc<str>,
-    /// What it asks for.
+    /// The model or service to call.
     pub work: Work,
-    /// When the caller no longer wants the answer.
+    /// Time after which the answer is no longer useful.
     pub deadline: Option<Timestamp>,
-    /// The most tokens that one attempt can cost.
+    /// Upper bound on the tokens that one attempt uses.
     pub max_attempt_tokens: u64,
-    /// The request as it goes out.
+    /// The request to send.
     pub request: BackendRequest,
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// A whole answer came, perhaps one that reports an error.
+    /// A complete answer was received, possibly one that reports an error.
     Answered(BackendReply),
-    /// The scheduler turned the call away; nothing was sent.
+    /// The scheduler refused the call; nothing was sent.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// When the caller may come back.
+        /// Delay before the caller should retry.
         retry_after: Duration,
     },
-    /// No usable answer came.
+    /// No usable answer was received.
     Failed {
-        /// What is true of the call.
+        /// Whether the call may have run.
         execution: ExecutionStatus,
-        /// What made the last attempt fail.
+        /// Error of the last attempt.
         detail: Arc<str>,
-        /// When the caller may come back.
+        /// Delay before the caller should retry.
         retry_after: Duration,
     },
-    /// The caller itself held the call back before anything was sent.
+    /// [`Caller::admit`] returned false; nothing was sent.
     NotAdmitted,
-    /// The caller went away and the call was stopped.
+    /// The caller disconnected and the call was cancelled.
     Cancelled(ExecutionStatus),
 }
 
-/// Times of one call, for measures.
+/// Statistics of one call, for metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallStats {
-    /// Time in the scheduler's queue, over all attempts.
+    /// Total time in the scheduler's queue.
     pub queue_time: Duration,
-    /// Time on connections to backend servers, over all attempts.
+    /// Total time of the exchanges with backend servers.
     pub service_time: Duration,
-    /// Attempts made.
+    /// Number of attempts.
     pub attempts: u32,
-    /// Tokens that lost attempts are known to have cost: their prompts and the parts that came.
+    /// Known token cost of lost attempts: their prompts and the events received.
     pub lost_tokens: u64,
 }
 
-/// Who asked for a call.
+/// The caller's side of a call.
 pub trait Caller {
-    /// The call is about to be sent for the first time. False holds it back, and the caller knows why;
-    /// a call that was turned away in the queue has cost nothing before this.
+    /// Called before the first attempt. If it returns false, the call is not sent and the caller keeps the
+    /// reason. A call refused in the queue never gets here, so it has cost nothing.
     fn admit(&self) -> LocalBoxFuture<'_, bool>;
 
-    /// Tokens that all attempts together may cost; asked once the call is admitted.
+    /// Tokens that all attempts together may use. Read after the call is admitted.
     fn token_budget(&self) -> u64;
 
-    /// A further part of the first answer came; its last event is held back.
+    /// Called for each server-sent event of the first streamed answer except the last.
     fn on_event(&self, bytes: &[u8]);
 
-    /// The answer broke off after some of it was told. Another attempt may follow, whose parts are
-    /// not told, since two answers must not be mixed.
+    /// Called if the answer stops after some of its events were passed on. The events of later attempts are
+    /// not passed on, since two answers must not be mixed.
     fn on_interrupted(&self);
 }
 
 impl OutgoingCall {
-    /// The call as the scheduler sees it.
-    pub(super) fn call(&self, id: CallId) -> Call {
+    /// The call as submitted to the scheduler.
+    pub(super) fn scheduler_call(&self, id: CallId) -> Call {
         Call {
             id,
             program: self.request.program.clone(),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Tokens of the prompt by the scheduler's estimate.
+    /// Estimated prompt tokens; zero for services.
     pub(super) fn prompt_tokens(&self) -> u64 {
         match self.work {
             Work::Model { prompt_tokens, .. } => prompt_tokens.into(),
--- a/agatetrestle/src/attempts/catalog.rs
+++ b/agatetrestle/src/attempts/catalog.rs
@@ -1,4 +1,4 @@
-//! The declarations in force as the scheduler and the dispatcher need them.
+//! Converts the active declarations to the scheduler's catalog and the dispatcher's endpoints.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -15,10 +15,10 @@
 use crate::scheduler::event::Catalog;
 use crate::scheduler::event::ClassRule;
 
-/// Where a declared backend server listens and what it is.
+/// Address and kind of a declared backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BackendEndpoint {
-    /// IP number and port.
+    /// IP address and port.
     pub address: SocketAddr,
     /// Engine or service replica.
     pub kind: BackendKind,
@@ -26,26 +26,26 @@
     pub reports_load: bool,
 }
 
-/// Where each declared backend server listens.
+/// Endpoints of the declared backend servers by name.
 pub type Endpoints = HashMap<Arc<str>, BackendEndpoint>;
 
-/// Parses the documents in force, the shared one first. A document that this build can't read is left out
-/// and logged: the others must not suffer for it.
+/// Parses the active documents, the shared one first. A document that can't be parsed is logged and
+/// skipped, so that it does not affect the others.
 #[must_use]
 pub fn parse(configuration: &Configuration) -> Vec<(Arc<str>, Declarations)> {
     let mut documents = Vec::new();
     for (scope, document) in &configuration.documents {
         match Declarations::read(scope, &document.text) {
             Ok(declarations) => documents.push((scope.clone(), declarations)),
-            Err(e) => log::error!("A document in force can't be read: {e}."),
+            Err(e) => log::error!("Skipping an active document that can't be parsed: {e}."),
         }
     }
     documents.sort_by_key(|(scope, _)| &**scope != SHARED_SCOPE);
     documents
 }
 
-/// Name under which a partner's calls find their backend servers: its own where its document has any
-/// that serve `name`, else the shared ones.
+/// Name of the pool for a partner's calls: the partner's own backend servers if its document declares any
+/// that serve `name`, otherwise the shared ones.
 #[must_use]
 pub fn pool_name(partner: &str, own: Option<&Declarations>, kind: BackendKind, name: &str) -> Arc<str> {
     let serves = |server: &BackendServer| server.kind == kind && *server.serves == *name;
@@ -53,15 +53,15 @@
     if has_own { qualified(partner, name) } else { name.into() }
 }
 
-/// A name that belongs to one partner and that no document can declare.
+/// A name scoped to one partner; documents can't declare names of this form.
 fn qualified(partner: &str, name: &str) -> Arc<str> {
     format!("{partner}/{name}").into()
 }
 
-/// Builds the scheduler's catalog and the addresses from the parsed documents with their scopes.
+/// Builds the scheduler's catalog and the endpoints from the parsed documents with their scopes.
 ///
-/// What a partner's document declares never reaches beyond the partner: its backend servers only get its
-/// own calls, and where it gives one a name that is taken already, that one is known as `partner/name`.
+/// A partner's document affects only that partner: its backend servers receive only its own calls, and a
+/// backend server whose name is already in use is registered as `partner/name`.
 #[must_use]
 pub fn build(documents: &[(Arc<str>, Declarations)]) -> (Catalog, Endpoints) {
     let mut catalog = Catalog::default();
@@ -85,12 +85,12 @@
 ) {
     let is_shared = &**scope == SHARED_SCOPE;
     for (name, server) in &declarations.backend_servers {
-        let taken = endpoints.contains_key(name);
-        let name = if taken { qualified(scope, name) } else { name.clone() };
+        let name_in_use = endpoints.contains_key(name);
+        let name = if name_in_use { qualified(scope, name) } else { name.clone() };
         let serves = if is_shared { server.serves.clone() } else { qualified(scope, &server.serves) };
         let reports_load = server.kind == BackendKind::Engine || server.reports_load;
-        let target = BackendEndpoint { address: server.address, kind: server.kind, reports_load };
-        endpoints.insert(name.clone(), target);
+        let endpoint = BackendEndpoint { address: server.address, kind: server.kind, reports_load };
+        endpoints.insert(name.clone(), endpoint);
         catalog.backends.push(Backend {
             name,
             kind: server.kind,
--- a/agatetrestle/src/attempts/delivery.rs
+++ b/agatetrestle/src/attempts/delivery.rs
@@ -1,101 +1,102 @@
-//! What may be said and done about one call, as a pure state machine.
+//! State machine that decides whether a call may be sent and whether it may have run.
 //!
-//! It knows nothing of connections: the driver tells it what happened, and it decides whether the
-//! call may be written and which outcome is true. The two rules that it carries are the second and
-//! third of docs/design/002-ledger-and-at-most-once.md: a call that wrote a byte is never said not to have
-//! run, and a call that may not be repeated is written at most once.
+//! It performs no I/O. It enforces the second and third rule of docs/design/002-ledger-and-at-most-once.md:
+//! a call of which a byte was written is not reported as not run unless the backend server refused it, and
+//! a call that is not repeatable is executed at most once.
 
 use crate::programs::command::Repeatable;
 use crate::scheduler::event::Failure;
 
-/// Where an attempt stands.
+/// Phase of the current attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
     /// In the scheduler's queue.
-    Waiting,
-    /// A connection is being made.
+    Queued,
+    /// Connecting to the backend server.
     Connecting,
-    /// At least one byte of the request may have left.
+    /// At least one byte of the request may have been sent.
     Sent,
-    /// Part of an answer came.
-    Answering,
-    /// Nothing more will happen.
+    /// Part of the answer was received.
+    Receiving,
+    /// The call has ended.
     Done,
 }
 
-/// What is true of a call that got no usable answer.
+/// Whether a call without a usable answer may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExecutionStatus {
-    /// Nothing of it was ever started.
+    /// No attempt was started by a backend server.
     NotRun,
-    /// Nobody can tell whether it ran, and it may not be sent again.
+    /// It may have run and must not be sent again.
     Unknown,
-    /// It may have run in part, but may be sent again.
+    /// It may have run, but is repeatable.
     Retryable,
 }
 
-/// The state of one call on this node, over all its attempts.
+/// State of one call on this node across all its attempts.
 #[derive(Debug)]
 pub struct Delivery {
     repeatable: Repeatable,
     phase: Phase,
-    doubtful: bool,
+    earlier_in_doubt: bool,
 }
 
 impl Delivery {
-    /// A call that waits.
+    /// Creates the state of a queued call.
     #[must_use]
     pub fn new(repeatable: Repeatable) -> Self {
-        Self { repeatable, phase: Phase::Waiting, doubtful: false }
+        Self { repeatable, phase: Phase::Queued, earlier_in_doubt: false }
     }
 
-    /// Where it stands.
+    /// Phase of the current attempt.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Asks for leave to attempt the call; refused where it may already have run and may not again.
+    /// Starts an attempt. Returns false if the call may already have run and is not repeatable.
     #[must_use]
     pub fn dispatch(&mut self) -> bool {
-        let allowed = self.phase == Phase::Waiting && (self.repeatable == Repeatable::Yes || !self.doubtful);
+        let allowed =
+            self.phase == Phase::Queued && (self.repeatable == Repeatable::Yes || !self.earlier_in_doubt);
         if allowed {
             self.phase = Phase::Connecting;
         }
         allowed
     }
 
-    /// The first byte is about to be written.
+    /// Records that the first byte is about to be written.
     pub fn begin_write(&mut self) {
         self.phase = Phase::Sent;
     }
 
-    /// Part of an answer came.
+    /// Records that part of the answer was received.
     pub fn receive(&mut self) {
         if self.phase == Phase::Sent {
-            self.phase = Phase::Answering;
+            self.phase = Phase::Receiving;
         }
     }
 
-    /// The attempt failed; returns the failure that is true, since an exchange can't claim that a
-    /// request it wrote never left. Only the backend server's own word takes the doubt away.
+    /// Records a failed attempt and returns the failure to report: after a write, a connection failure is
+    /// reported as lost, and so is a refusal that follows part of an answer. Only a refusal rules out that
+    /// the written request ran.
     pub fn fail(&mut self, failure: Failure) -> Failure {
-        let truth = match failure {
+        let reported = match failure {
             Failure::Connect if self.written() => Failure::Lost,
-            Failure::Refused if self.phase == Phase::Answering => Failure::Lost,
+            Failure::Refused if self.phase == Phase::Receiving => Failure::Lost,
             other => other,
         };
-        self.doubtful |= self.written() && truth != Failure::Refused;
-        self.phase = Phase::Waiting;
-        truth
+        self.earlier_in_doubt |= self.written() && reported != Failure::Refused;
+        self.phase = Phase::Queued;
+        reported
     }
 
-    /// A whole answer came.
+    /// Records that a complete answer was received.
     pub fn finish(&mut self) {
         self.phase = Phase::Done;
     }
 
-    /// No further attempt will be made; returns what is true.
+    /// Ends the call without an answer and returns whether it may have run.
     pub fn end(&mut self) -> ExecutionStatus {
         let in_doubt = self.in_doubt();
         self.phase = Phase::Done;
@@ -106,19 +107,19 @@
         }
     }
 
-    /// Whether a caller's departure may stop the call: one that may not be repeated goes on once it
-    /// was written, since its answer is worth storing.
+    /// Whether the call may be cancelled when the caller disconnects. A call that is not repeatable continues
+    /// once it was written, so that its answer can be stored.
     #[must_use]
     pub fn may_cancel(&self) -> bool {
         self.repeatable == Repeatable::Yes || !self.in_doubt()
     }
 
     fn written(&self) -> bool {
-        matches!(self.phase, Phase::Sent | Phase::Answering)
+        matches!(self.phase, Phase::Sent | Phase::Receiving)
     }
 
     fn in_doubt(&self) -> bool {
-        self.doubtful || self.written()
+        self.earlier_in_doubt || self.written()
     }
 }
 
--- a/agatetrestle/src/attempts/delivery/tests.rs
+++ b/agatetrestle/src/attempts/delivery/tests.rs
@@ -1,4 +1,4 @@
-//! Properties of the attempt machine over random histories.
+//! Property tests of the delivery state machine.
 
 use proptest::prelude::*;
 
@@ -8,7 +8,7 @@
 enum Step {
     Dispatch,
     Write,
-    Answer,
+    Receive,
     Fail(Failure),
 }
 
@@ -16,7 +16,7 @@
     let step = prop_oneof![
         3 => Just(Step::Dispatch),
         3 => Just(Step::Write),
-        1 => Just(Step::Answer),
+        1 => Just(Step::Receive),
         1 => Just(Step::Fail(Failure::Connect)),
         1 => Just(Step::Fail(Failure::Refused)),
         1 => Just(Step::Fail(Failure::Lost)),
@@ -25,48 +25,48 @@
     prop::collection::vec(step, 0..24)
 }
 
-/// What a backend server may have seen: writes that it did not itself disown.
+/// Requests that a backend server may have executed, which are the written ones that it did not refuse.
 #[derive(Default)]
-struct Seen {
-    standing: u32,
-    current: bool,
-    answering: bool,
+struct Observed {
+    maybe_executed: u32,
+    written: bool,
+    receiving: bool,
 }
 
 proptest! {
     #[test]
-    fn the_outcome_is_true(steps in steps(), repeatable in any::<bool>()) {
+    fn reports_the_true_execution_status(steps in steps(), repeatable in any::<bool>()) {
         let repeatable = if repeatable { Repeatable::Yes } else { Repeatable::No };
-        let mut machine = Delivery::new(repeatable);
-        let mut seen = Seen::default();
+        let mut delivery = Delivery::new(repeatable);
+        let mut observed = Observed::default();
         for step in steps {
             match step {
-                Step::Dispatch => drop(machine.dispatch()),
-                Step::Write if machine.phase() == Phase::Connecting => {
-                    machine.begin_write();
-                    seen.standing += 1;
-                    seen.current = true;
+                Step::Dispatch => drop(delivery.dispatch()),
+                Step::Write if delivery.phase() == Phase::Connecting => {
+                    delivery.begin_write();
+                    observed.maybe_executed += 1;
+                    observed.written = true;
                 }
-                Step::Answer if seen.current => {
-                    machine.receive();
-                    seen.answering = true;
+                Step::Receive if observed.written => {
+                    delivery.receive();
+                    observed.receiving = true;
                 }
-                Step::Fail(failure) if machine.phase() != Phase::Waiting => {
-                    let truth = machine.fail(failure);
-                    prop_assert!(!(seen.current && truth == Failure::Connect));
-                    let disowned = failure == Failure::Refused && !seen.answering;
-                    if seen.current && disowned {
-                        seen.standing -= 1;
+                Step::Fail(failure) if delivery.phase() != Phase::Queued => {
+                    let reported = delivery.fail(failure);
+                    prop_assert!(!(observed.written && reported == Failure::Connect));
+                    let refused = failure == Failure::Refused && !observed.receiving;
+                    if observed.written && refused {
+                        observed.maybe_executed -= 1;
                     }
-                    seen.current = false;
-                    seen.answering = false;
+                    observed.written = false;
+                    observed.receiving = false;
                 }
                 _ => {}
             }
-            prop_assert!(repeatable == Repeatable::Yes || seen.standing <= 1);
+            prop_assert!(repeatable == Repeatable::Yes || observed.maybe_executed <= 1);
         }
-        let ending = machine.end();
-        prop_assert_eq!(ending == ExecutionStatus::NotRun, seen.standing == 0);
-        prop_assert_eq!(ending == ExecutionStatus::Unknown, seen.standing > 0 && repeatable == Repeatable::No);
+        let status = delivery.end();
+        prop_assert_eq!(status == ExecutionStatus::NotRun, observed.maybe_executed == 0);
+        prop_assert_eq!(status == ExecutionStatus::Unknown, observed.maybe_executed > 0 && repeatable == Repeatable::No);
     }
 }
--- a/agatetrestle/src/attempts/dispatcher.rs
+++ b/agatetrestle/src/attempts/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The driver of the scheduler: submits calls, carries out its actions and reports what happened.
+//! Drives the scheduler: submits calls, carries out its actions and reports the results.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -27,9 +27,9 @@
 use crate::attempts::call::CallStats;
 use crate::attempts::call::Caller;
 use crate::attempts::call::OutgoingCall;
+use crate::attempts::call_task::CallTask;
 use crate::attempts::catalog;
 use crate::attempts::catalog::Endpoints;
-use crate::attempts::run::Run;
 use crate::clock::Clock;
 use crate::control::command::Configuration;
 use crate::scheduler::Scheduler;
@@ -41,30 +41,30 @@
 use crate::scheduler::event::Failure;
 use crate::scheduler::event::RefusalReason;
 
-/// An action of the scheduler as the call's own task gets it.
-pub(super) enum Decision {
+/// A scheduler action as sent to the task of its call.
+pub(super) enum CallAction {
     Dispatch { backend: BackendKey, priority: u8 },
     Refuse { reason: RefusalReason, retry_after: Duration },
     GiveUp { retry_after: Duration },
 }
 
-/// Owns the handle of the scheduler and the calls that wait for its decisions.
+/// Runs calls according to the scheduler's actions.
 pub struct Dispatcher {
     scheduler: Rc<RefCell<Box<dyn Scheduler>>>,
     engines: Rc<dyn EngineClient>,
     services: Rc<dyn ServiceClient>,
     timer: Rc<dyn Timer>,
     pub(super) clock: Clock,
-    waiting: RefCell<HashMap<CallId, Sender<Decision>>>,
+    calls: RefCell<HashMap<CallId, Sender<CallAction>>>,
     endpoints: RefCell<Endpoints>,
     admin: BackendAdmin,
     revision: Cell<u64>,
     leaving: RefCell<BTreeSet<Arc<str>>>,
-    last_id: Cell<u64>,
+    last_call_id: Cell<u64>,
 }
 
 impl Dispatcher {
-    /// A dispatcher over a scheduler and the backend servers.
+    /// Creates a dispatcher without declared backend servers.
     #[must_use]
     pub fn new(
         scheduler: Rc<RefCell<Box<dyn Scheduler>>>,
@@ -81,27 +81,27 @@
             services,
             timer,
             clock,
-            waiting: RefCell::default(),
+            calls: RefCell::default(),
             endpoints: RefCell::default(),
             revision: Cell::new(0),
             leaving: RefCell::default(),
-            last_id: Cell::new(0),
+            last_call_id: Cell::new(0),
         }
     }
 
-    /// Puts a new catalog in force for calls that are dispatched from now on.
+    /// Replaces the catalog for calls dispatched from now on.
     pub fn set_catalog(&self, catalog: Arc<Catalog>) {
         self.step(Event::Catalog(catalog));
     }
 
-    /// Puts new addresses of backend servers in force; a call already sent stays where it is.
+    /// Replaces the endpoints; calls already sent are not affected.
     pub fn set_endpoints(&self, endpoints: Endpoints) {
-        self.admin.declare(&endpoints);
+        self.admin.set_endpoints(&endpoints);
         *self.endpoints.borrow_mut() = endpoints;
     }
 
-    /// Puts a configuration in force: its catalog, its addresses and its leaving marks. Cheap where
-    /// the revision is already in force, and without effect where it is older.
+    /// Applies a configuration: its catalog, endpoints and leaving marks. Does nothing unless the revision is
+    /// newer than the active one.
     pub fn configure(&self, configuration: &Configuration) {
         if configuration.revision <= self.revision.get() {
             return;
@@ -115,100 +115,104 @@
 
     fn mark_leaving(&self, configuration: &Configuration) {
         let marked: BTreeSet<Arc<str>> = configuration.leaving.keys().cloned().collect();
-        let before = self.leaving.replace(marked.clone());
-        for name in marked.difference(&before) {
+        let previous = self.leaving.replace(marked.clone());
+        for name in marked.difference(&previous) {
             self.step(Event::Leaving { name: name.clone(), leaving: true });
         }
-        for name in before.difference(&marked) {
+        for name in previous.difference(&marked) {
             self.step(Event::Leaving { name: name.clone(), leaving: false });
         }
     }
 
-    /// Tells the scheduler something and carries out what it decides.
+    /// Passes an event to the scheduler and carries out the resulting actions.
     pub fn step(&self, event: Event) {
         let now = self.clock.now();
         let decisions = self.scheduler.borrow_mut().step(now, event);
         for action in decisions.actions {
-            self.carry_out(action);
+            self.send_action(action);
         }
         for order in decisions.orders {
-            let (program, backend, order) = admin::split(order);
-            if let Some((_, address)) = self.target(backend) {
-                self.admin.order(program, order, address);
+            let (program, backend, command) = admin::into_command(order);
+            if let Some((_, address)) = self.endpoint(backend) {
+                self.admin.enqueue(program, command, address);
             }
         }
     }
 
-    /// Lets the scheduler see time pass, asks backend servers for reports and carries out orders about
-    /// caches, for as long as the node runs.
+    /// Ticks the scheduler, polls backend servers for reports and sends cache commands, for as long as the
+    /// node runs.
     pub async fn run_background(&self) {
-        let beside = zip(self.admin.carry_out(), self.admin.ask(self));
-        zip(self.tick(), beside).await;
+        let admin = zip(self.admin.send_commands(), self.admin.poll_reports(self));
+        zip(self.tick(), admin).await;
     }
 
     async fn tick(&self) {
         loop {
-            let span = self.scheduler.borrow().tick_within();
-            self.timer.after(span).await;
+            let interval = self.scheduler.borrow().tick_within();
+            self.timer.after(interval).await;
             self.step(Event::Tick);
         }
     }
 
-    /// Calls that wait or are in service.
+    /// Number of calls that are queued or being served.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.waiting.borrow().len()
+        self.calls.borrow().len()
     }
 
-    /// Sends one call, with as many attempts as the scheduler decides. The caller is gone once the
-    /// sender of `gone` is dropped, which no longer counts after an answer broke off: the caller was
-    /// then told to ask again for the answer of the next attempt.
+    /// Runs one call, with as many attempts as the scheduler decides. Dropping the sender of `caller_gone`
+    /// cancels the call, except after a streamed answer was interrupted: the caller was then told to retry
+    /// and gets the answer of the next attempt.
     pub async fn run(
         &self,
-        job: &OutgoingCall,
+        call: &OutgoingCall,
         caller: &dyn Caller,
-        gone: &Receiver<()>,
-        times: &Cell<CallStats>,
+        caller_gone: &Receiver<()>,
+        stats: &Cell<CallStats>,
     ) -> CallOutcome {
-        Run::new(self, job, caller, gone, times).to_the_end().await
+        CallTask::new(self, call, caller, caller_gone, stats).run().await
     }
 
-    pub(super) fn enter(&self) -> (CallId, Receiver<Decision>) {
-        let (orders, waiting) = channel::unbounded();
-        let id = CallId(self.last_id.get() + 1);
-        self.last_id.set(id.0);
-        self.waiting.borrow_mut().insert(id, orders);
-        (id, waiting)
+    pub(super) fn register(&self) -> (CallId, Receiver<CallAction>) {
+        let (sender, receiver) = channel::unbounded();
+        let id = CallId(self.last_call_id.get() + 1);
+        self.last_call_id.set(id.0);
+        self.calls.borrow_mut().insert(id, sender);
+        (id, receiver)
     }
 
-    pub(super) fn leave(&self, id: CallId) {
-        self.waiting.borrow_mut().remove(&id);
+    pub(super) fn deregister(&self, id: CallId) {
+        self.calls.borrow_mut().remove(&id);
     }
 
-    fn carry_out(&self, action: Action) {
-        let (call, order) = match action {
-            Action::Dispatch { call, backend, priority } => (call, Decision::Dispatch { backend, priority }),
-            Action::Refuse { call, reason, retry_after } => (call, Decision::Refuse { reason, retry_after }),
-            Action::GiveUp { call, retry_after } => (call, Decision::GiveUp { retry_after }),
+    fn send_action(&self, action: Action) {
+        let (call, action) = match action {
+            Action::Dispatch { call, backend, priority } => {
+                (call, CallAction::Dispatch { backend, priority })
+            }
+            Action::Refuse { call, reason, retry_after } => {
+                (call, CallAction::Refuse { reason, retry_after })
+            }
+            Action::GiveUp { call, retry_after } => (call, CallAction::GiveUp { retry_after }),
         };
-        if let Some(orders) = self.waiting.borrow().get(&call) {
-            orders.try_send(order).ok();
+        if let Some(sender) = self.calls.borrow().get(&call) {
+            sender.try_send(action).ok();
         }
     }
 
-    /// Sends a request to a backend server, wherever it listens by now.
+    /// Sends a request to the current address of a backend server.
     pub(super) async fn exchange(
         &self,
-        outgoing: &BackendRequest,
+        request: &BackendRequest,
         backend: BackendKey,
         priority: u8,
-        progress: &dyn ExchangeObserver,
+        observer: &dyn ExchangeObserver,
     ) -> Result<BackendReply, ExchangeError> {
-        match self.target(backend) {
+        match self.endpoint(backend) {
             Some((BackendKind::Engine, address)) => {
-                self.engines.chat(address, priority, outgoing, progress).await
+                self.engines.chat(address, priority, request, observer).await
             }
-            Some((BackendKind::Service, address)) => self.services.call(address, outgoing, progress).await,
+            Some((BackendKind::Service, address)) => self.services.call(address, request, observer).await,
             None => {
                 let detail = "the backend server is no longer declared".into();
                 Err(ExchangeError { failure: Failure::Connect, detail, reply: None })
@@ -216,10 +220,10 @@
         }
     }
 
-    fn target(&self, backend: BackendKey) -> Option<(BackendKind, std::net::SocketAddr)> {
+    fn endpoint(&self, backend: BackendKey) -> Option<(BackendKind, std::net::SocketAddr)> {
         let scheduler = self.scheduler.borrow();
         let backend = scheduler.backend(backend)?;
-        let target = self.endpoints.borrow().get(&backend.name).copied()?;
-        Some((backend.kind, target.address))
+        let endpoint = self.endpoints.borrow().get(&backend.name).copied()?;
+        Some((backend.kind, endpoint.address))
     }
 }
--- a/agatetrestle/src/attempts/http.rs
+++ b/agatetrestle/src/attempts/http.rs
@@ -1,8 +1,8 @@
-//! Exchanges with backend servers over HTTP/1.1, one connection each.
+//! HTTP/1.1 exchanges with backend servers, one connection each.
 //!
-//! `async-h1` codes requests and decodes answers. This module bounds the head, the body and the time
-//! without progress around it, and tells a whole answer from one that was cut off, which the library
-//! does not; see docs/design/009-silent-connections.md.
+//! `async-h1` encodes requests and decodes answers. This module adds what the library lacks: limits on the
+//! head, the body and the time without progress, and the detection of truncated answers; see
+//! docs/design/009-silent-connections.md.
 
 mod admin;
 
@@ -47,44 +47,43 @@
 use crate::programs::command::Answer;
 use crate::scheduler::event::Failure;
 
-/// Largest head of an answer; `async-h1` stops just below this.
-const HEAD_LIMIT: usize = 8 << 10;
+/// `async-h1` rejects heads just below this size.
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// Largest answer, whole.
-const ANSWER_LIMIT: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// How often a silent answer is polled again within its patience, since the chunk decoder of
-/// `async-h1` forgets to ask for a wake-up where trailers come in parts.
-const POLLS: u32 = 8;
+/// Polls of an idle read within the idle timeout, since the chunk decoder of `async-h1` does not register
+/// a wake-up if trailers arrive in parts.
+const READ_POLLS: u32 = 8;
 
-const READ_SIZE: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 const HEAD_END: &[u8] = b"\r\n\r\n";
-const NOT_RUN: &str = "not_run";
-const OLD_VERSION: &[u8] = b"HTTP/1.0 ";
+const OUTCOME_NOT_RUN: &str = "not_run";
+const HTTP_1_0: &[u8] = b"HTTP/1.0 ";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Backend servers reached over HTTP.
+/// HTTP client for engines and services.
 pub struct HttpBackendClient {
     timer: Rc<dyn Timer>,
     connect_timeout: Duration,
 }
 
-/// How the end of an answer is known.
+/// How the end of an answer is determined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Framing {
     Length(usize),
     Chunked,
-    Close,
+    UntilClose,
 }
 
 struct Exchange<'a> {
     timer: &'a dyn Timer,
     request: &'a BackendRequest,
-    progress: &'a dyn ExchangeObserver,
+    observer: &'a dyn ExchangeObserver,
 }
 
 impl HttpBackendClient {
-    /// Backend servers to which a connection must be made within `connect_timeout`.
+    /// Creates a client whose connection attempts fail after `connect_timeout`.
     #[must_use]
     pub fn new(timer: Rc<dyn Timer>, connect_timeout: Duration) -> Self {
         Self { timer, connect_timeout }
@@ -96,10 +95,10 @@
         kind: BackendKind,
         priority: u8,
         request: &BackendRequest,
-        progress: &dyn ExchangeObserver,
+        observer: &dyn ExchangeObserver,
     ) -> Result<BackendReply, ExchangeError> {
         let stream = self.connect(address).await?;
-        let exchange = Exchange { timer: &*self.timer, request, progress };
+        let exchange = Exchange { timer: &*self.timer, request, observer };
         exchange.run(stream, address, kind, priority).await
     }
 
@@ -122,20 +121,20 @@
         address: SocketAddr,
         priority: u8,
         request: &'a BackendRequest,
-        progress: &'a dyn ExchangeObserver,
+        observer: &'a dyn ExchangeObserver,
     ) -> LocalBoxFuture<'a, Result<BackendReply, ExchangeError>> {
-        Box::pin(self.exchange(address, BackendKind::Engine, priority, request, progress))
+        Box::pin(self.exchange(address, BackendKind::Engine, priority, request, observer))
     }
 
-    fn order<'a>(
+    fn cache_command<'a>(
         &'a self,
         address: SocketAddr,
         program: &'a ProgramId,
-        order: EngineCommand,
+        command: EngineCommand,
     ) -> LocalBoxFuture<'a, Result<(), ExchangeError>> {
         Box::pin(async move {
             let stream = self.connect(address).await?;
-            admin::order(stream, address, program, order).await
+            admin::cache_command(stream, address, program, command).await
         })
     }
 
@@ -156,9 +155,9 @@
         &'a self,
         address: SocketAddr,
         request: &'a BackendRequest,
-        progress: &'a dyn ExchangeObserver,
+        observer: &'a dyn ExchangeObserver,
     ) -> LocalBoxFuture<'a, Result<BackendReply, ExchangeError>> {
-        Box::pin(self.exchange(address, BackendKind::Service, 0, request, progress))
+        Box::pin(self.exchange(address, BackendKind::Service, 0, request, observer))
     }
 }
 
@@ -171,16 +170,16 @@
         priority: u8,
     ) -> Result<BackendReply, ExchangeError> {
         let request = self.encode(address, kind, priority)?;
-        self.progress.on_write();
+        self.observer.on_write();
         self.write(request, &mut stream).await?;
         let (head, rest) = self.read_head(&mut stream).await?;
         let (mut response, framing) = decode(&head, &rest, stream.clone()).await?;
-        let refused = response.header(OUTCOME_HEADER).is_some_and(|v| v.as_str() == NOT_RUN);
-        if refused {
+        let not_run = response.header(OUTCOME_HEADER).is_some_and(|v| v.as_str() == OUTCOME_NOT_RUN);
+        if not_run {
             return Err(exchange_error(Failure::Refused, "the backend server did not start the call"));
         }
         let reply = match framing {
-            Framing::Close => {
+            Framing::UntilClose => {
                 let mut body = Cursor::new(rest).chain(stream);
                 self.read_body(&mut body, &response, framing, kind).await?
             }
@@ -189,23 +188,23 @@
                 self.read_body(&mut body, &response, framing, kind).await?
             }
         };
-        judge(reply, kind)
+        check_reply(reply, kind)
     }
 
     fn encode(&self, address: SocketAddr, kind: BackendKind, priority: u8) -> Result<Request, ExchangeError> {
-        let out = self.request;
-        let url = Url::parse(&format!("http://{address}{}", out.path))
-            .map_err(|e| exchange_error(Failure::Connect, format!("no request for {}: {e}", out.path)))?;
+        let request = self.request;
+        let url = Url::parse(&format!("http://{address}{}", request.path))
+            .map_err(|e| exchange_error(Failure::Connect, format!("no request for {}: {e}", request.path)))?;
         let mut req = Request::new(Method::Post, url);
-        req.insert_header(PROGRAM_HEADER, out.program.to_string());
-        req.insert_header(CALL_HEADER, out.call.0.to_string());
-        req.insert_header(IDEMPOTENCY_KEY_HEADER, &*out.key.0);
+        req.insert_header(PROGRAM_HEADER, request.program.to_string());
+        req.insert_header(CALL_HEADER, request.call.0.to_string());
+        req.insert_header(IDEMPOTENCY_KEY_HEADER, &*request.key.0);
         req.insert_header("Connection", "close");
         if kind == BackendKind::Engine {
             req.insert_header(PRIORITY_HEADER, priority.to_string());
         }
-        req.set_body(out.body.to_vec());
-        req.insert_header("Content-Type", &*out.content_type);
+        req.set_body(request.body.to_vec());
+        req.insert_header("Content-Type", &*request.content_type);
         Ok(req)
     }
 
@@ -222,23 +221,23 @@
         }
     }
 
-    /// Reads up to the end of the head; what follows it is returned beside it.
+    /// Reads the head; also returns the bytes received after it.
     async fn read_head(&self, stream: &mut TcpStream) -> Result<(Vec<u8>, Vec<u8>), ExchangeError> {
         let mut buf = Vec::new();
-        let mut part = [0; 2048];
+        let mut chunk = [0; 2048];
         loop {
             if let Some(at) = buf.windows(HEAD_END.len()).position(|w| w == HEAD_END) {
                 let rest = buf.split_off(at + HEAD_END.len());
                 return Ok((buf, rest));
             }
-            if buf.len() >= HEAD_LIMIT {
+            if buf.len() >= MAX_HEAD_BYTES {
                 return Err(exchange_error(Failure::Lost, "the head of the answer is too long"));
             }
-            let count = self.read(stream, &mut part).await?;
+            let count = self.read(stream, &mut chunk).await?;
             if count == 0 {
                 return Err(exchange_error(Failure::Lost, "the connection closed before an answer"));
             }
-            buf.extend_from_slice(&part[..count]);
+            buf.extend_from_slice(&chunk[..count]);
         }
     }
 
@@ -247,8 +246,8 @@
         reader: &mut R,
         buf: &mut [u8],
     ) -> Result<usize, ExchangeError> {
-        for _ in 0..POLLS {
-            match with_timeout(self.timer, self.request.idle_timeout / POLLS, reader.read(buf)).await {
+        for _ in 0..READ_POLLS {
+            match with_timeout(self.timer, self.request.idle_timeout / READ_POLLS, reader.read(buf)).await {
                 Some(Ok(count)) => return Ok(count),
                 Some(Err(e)) => return Err(exchange_error(Failure::Lost, format!("while reading: {e}"))),
                 None => {}
@@ -265,54 +264,55 @@
         kind: BackendKind,
     ) -> Result<BackendReply, ExchangeError> {
         let content_type = response.header("Content-Type").map_or("", |v| v.last().as_str()).to_owned();
-        let events = kind == BackendKind::Engine && content_type.starts_with(EVENT_STREAM);
-        let mut splitter = SseParser::default();
-        let mut whole = Vec::new();
-        let mut buf = vec![0; READ_SIZE];
+        let is_stream = kind == BackendKind::Engine && content_type.starts_with(EVENT_STREAM);
+        let mut parser = SseParser::default();
+        let mut received = Vec::new();
+        let mut buf = vec![0; READ_BUFFER_BYTES];
         loop {
             let count = self.read(body, &mut buf).await?;
             if count == 0 {
                 break;
             }
-            if whole.len() + count > ANSWER_LIMIT {
+            if received.len() + count > MAX_ANSWER_BYTES {
                 return Err(exchange_error(Failure::Lost, "the answer is too long"));
             }
-            if !events {
-                whole.extend_from_slice(&buf[..count]);
+            if !is_stream {
+                received.extend_from_slice(&buf[..count]);
                 continue;
             }
-            for piece in splitter.push(&buf[..count]) {
-                whole.extend_from_slice(&piece.bytes);
-                if !piece.last {
-                    self.progress.on_event(&piece.bytes);
+            for event in parser.push(&buf[..count]) {
+                received.extend_from_slice(&event.bytes);
+                if !event.last {
+                    self.observer.on_event(&event.bytes);
                 }
             }
-            if splitter.ended() {
+            if parser.ended() {
                 break;
             }
         }
-        let cut_off = match framing {
-            Framing::Length(length) => !splitter.ended() && whole.len() < length,
-            Framing::Chunked | Framing::Close => false,
+        let truncated = match framing {
+            Framing::Length(length) => !parser.ended() && received.len() < length,
+            Framing::Chunked | Framing::UntilClose => false,
         };
-        if cut_off || (events && !splitter.ended()) {
+        if truncated || (is_stream && !parser.ended()) {
             return Err(exchange_error(Failure::Lost, "the answer was cut off"));
         }
-        let usage = if events { splitter.usage() } else { TokenUsage::default() };
+        let usage = if is_stream { parser.usage() } else { TokenUsage::default() };
         let status = u16::from(response.status());
-        let answer = Answer { status, content_type: content_type.into(), body: whole.into() };
-        Ok(BackendReply { answer, usage, tool: splitter.tool() })
+        let answer = Answer { status, content_type: content_type.into(), body: received.into() };
+        Ok(BackendReply { answer, usage, tool: parser.tool() })
     }
 }
 
-/// Decodes the head; the body is left to the returned response, or to the connection's end.
+/// Decodes the head. The body is read through the returned response or, with [`Framing::UntilClose`], from
+/// the connection.
 async fn decode(head: &[u8], rest: &[u8], stream: TcpStream) -> Result<(Response, Framing), ExchangeError> {
-    let mut known = head.to_vec();
-    if known.starts_with(OLD_VERSION) {
-        known[..OLD_VERSION.len()].copy_from_slice(b"HTTP/1.1 ");
+    let mut bytes = head.to_vec();
+    if bytes.starts_with(HTTP_1_0) {
+        bytes[..HTTP_1_0.len()].copy_from_slice(b"HTTP/1.1 ");
     }
-    known.extend_from_slice(rest);
-    let reader = Cursor::new(known).chain(stream);
+    bytes.extend_from_slice(rest);
+    let reader = Cursor::new(bytes).chain(stream);
     let response = async_h1::client::decode(reader)
         .await
         .map_err(|e| exchange_error(Failure::Lost, format!("malformed answer: {e}")))?;
@@ -323,16 +323,16 @@
             Err(_) => return Err(exchange_error(Failure::Lost, "malformed length of the answer")),
         },
         (None, None) if u16::from(response.status()) == 204 => Framing::Length(0),
-        (None, None) => Framing::Close,
+        (None, None) => Framing::UntilClose,
     };
     Ok((response, framing))
 }
 
-/// Tells a usable answer from one that reports an error or is not whole in itself.
-fn judge(mut reply: BackendReply, kind: BackendKind) -> Result<BackendReply, ExchangeError> {
+/// Checks a complete answer, and reads token usage and tool from a completion.
+fn check_reply(mut reply: BackendReply, kind: BackendKind) -> Result<BackendReply, ExchangeError> {
     let status = reply.answer.status;
-    let events = reply.answer.content_type.starts_with(EVENT_STREAM);
-    if kind == BackendKind::Engine && status < 300 && !events {
+    let is_stream = reply.answer.content_type.starts_with(EVENT_STREAM);
+    if kind == BackendKind::Engine && status < 300 && !is_stream {
         let Ok(value) = serde_json::from_slice(&reply.answer.body) else {
             return Err(exchange_error(Failure::Lost, "the answer is no JSON"));
         };
--- a/agatetrestle/src/attempts/http/admin.rs
+++ b/agatetrestle/src/attempts/http/admin.rs
@@ -1,4 +1,4 @@
-//! Reports and cache orders over HTTP.
+//! Status reports and cache commands over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,17 +22,16 @@
 use crate::scheduler::event::Failure;
 use crate::scheduler::event::Load;
 
-/// Largest report that is read; one that has more to tell tells it next time.
-const REPORT_LIMIT: u64 = 4 << 20;
+const MAX_REPORT_BYTES: u64 = 4 << 20;
 
 #[derive(Serialize)]
-struct OrderForm {
+struct CacheCommandBody {
     program: String,
     order: EngineCommand,
 }
 
 #[derive(Deserialize)]
-struct ReportForm {
+struct ReportBody {
     running: u32,
     waiting: u32,
     #[serde(default)]
@@ -40,26 +39,26 @@
     #[serde(default)]
     position: u64,
     #[serde(default)]
-    changes: Vec<ChangeForm>,
+    changes: Vec<CacheChangeBody>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum ChangeForm {
+enum CacheChangeBody {
     Stored(Vec<u64>),
     Evicted(Vec<u64>),
     Cleared,
 }
 
-pub(super) async fn order(
+pub(super) async fn cache_command(
     stream: TcpStream,
     address: SocketAddr,
     program: &ProgramId,
-    order: EngineCommand,
+    command: EngineCommand,
 ) -> Result<(), ExchangeError> {
     let mut req = request(Method::Post, address, "/admin/cache")?;
-    let form = OrderForm { program: program.to_string(), order };
-    req.set_body(serde_json::to_vec(&form).unwrap_or_default());
+    let body = CacheCommandBody { program: program.to_string(), order: command };
+    req.set_body(serde_json::to_vec(&body).unwrap_or_default());
     req.insert_header("Content-Type", "application/json");
     let response = send(stream, req).await?;
     if response.status().is_success() {
@@ -78,21 +77,21 @@
     if !response.status().is_success() {
         return Ok(None);
     }
-    let mut bytes = Vec::new();
-    let body = response.take_body().take(REPORT_LIMIT).read_to_end(&mut bytes).await;
-    body.map_err(|e| exchange_error(Failure::Lost, e.to_string()))?;
-    let form: ReportForm =
-        serde_json::from_slice(&bytes).map_err(|e| exchange_error(Failure::Lost, e.to_string()))?;
-    let load = Load { running: form.running, waiting: form.waiting, age: Duration::from_millis(form.age_ms) };
-    let changes = form.changes.into_iter().map(change).collect();
-    Ok(Some(BackendReport { load, changes, position: form.position }))
+    let mut buf = Vec::new();
+    let read = response.take_body().take(MAX_REPORT_BYTES).read_to_end(&mut buf).await;
+    read.map_err(|e| exchange_error(Failure::Lost, e.to_string()))?;
+    let body: ReportBody =
+        serde_json::from_slice(&buf).map_err(|e| exchange_error(Failure::Lost, e.to_string()))?;
+    let load = Load { running: body.running, waiting: body.waiting, age: Duration::from_millis(body.age_ms) };
+    let changes = body.changes.into_iter().map(cache_change).collect();
+    Ok(Some(BackendReport { load, changes, position: body.position }))
 }
 
-fn change(form: ChangeForm) -> CacheChange {
-    match form {
-        ChangeForm::Stored(blocks) => CacheChange::Stored(blocks.into()),
-        ChangeForm::Evicted(blocks) => CacheChange::Evicted(blocks.into()),
-        ChangeForm::Cleared => CacheChange::Cleared,
+fn cache_change(body: CacheChangeBody) -> CacheChange {
+    match body {
+        CacheChangeBody::Stored(blocks) => CacheChange::Stored(blocks.into()),
+        CacheChangeBody::Evicted(blocks) => CacheChange::Evicted(blocks.into()),
+        CacheChangeBody::Cleared => CacheChange::Cleared,
     }
 }
 
@@ -105,6 +104,6 @@
 }
 
 async fn send(stream: TcpStream, req: Request) -> Result<Response, ExchangeError> {
-    let exchange = async_h1::connect(stream, req).await;
-    exchange.map_err(|e| exchange_error(Failure::Lost, Arc::<str>::from(e.to_string())))
+    let response = async_h1::connect(stream, req).await;
+    response.map_err(|e| exchange_error(Failure::Lost, Arc::<str>::from(e.to_string())))
 }
--- a/agatetrestle/src/attempts/mod.rs
+++ b/agatetrestle/src/attempts/mod.rs
@@ -1,28 +1,27 @@
-//! Attempts at calls: the scheduler's decisions carried out on connections to backend servers.
+//! Attempts at calls: carries out the scheduler's decisions on connections to backend servers.
 //!
-//! A [`Dispatcher`] hands each call to the scheduler, sends it where the scheduler says and reports
-//! back. The pure [`delivery`] alone decides what may be said about the outcome of a call. Why a call
-//! that may not be repeated gets a connection of its own, and what happens on silence, stands in
-//! docs/design/009-silent-connections.md.
+//! A [`Dispatcher`] submits each call to the scheduler, sends it to the chosen backend server and reports
+//! the result. The state machine in [`delivery`] alone decides whether a call may have run. Connection use
+//! and timeouts are described in docs/design/009-silent-connections.md.
 //!
-//! EngineClient receive a chat-completions request with the header `Agatetrestle-Priority` (a decimal
+//! Engines receive a chat-completions request with the header `Agatetrestle-Priority` (a decimal
 //! number, higher first), and every backend server receives `Agatetrestle-Program`,
 //! `Agatetrestle-Call` and the caller's `Idempotency-Key`. A backend server that answers with
-//! `Agatetrestle-Outcome: not_run` says that it did not start the call.
+//! `Agatetrestle-Outcome: not_run` states that it did not start the call.
 //!
-//! Beside calls, engines take `POST /admin/cache` with `{"program": "partner/name", "order": "release"}` (or
+//! Apart from calls, engines accept `POST /admin/cache` with `{"program": "partner/name", "order": "release"}` (or
 //! `export`, `import`) and answer `GET /admin/report?after=N` with `{"running": 1, "waiting": 0, "age_ms": 0,
-//! "position": 7, "changes": [{"stored": [1, 2]}, {"evicted": [3]}, "cleared"]}`, where a number stands for a
-//! block as [`prefix`] hashes it. Services that are declared with `reports_load` answer the same without changes.
+//! "position": 7, "changes": [{"stored": [1, 2]}, {"evicted": [3]}, "cleared"]}`, where a number is the
+//! hash of a block, computed as in [`prefix`]. Services declared with `reports_load` answer without changes.
 
 mod admin;
 pub mod call;
+mod call_task;
 pub mod catalog;
 pub mod delivery;
 pub mod dispatcher;
 pub mod http;
 pub mod prefix;
-mod run;
 pub mod sse;
 pub mod timer;
 
@@ -61,123 +60,123 @@
 /// Header that holds the number of a call.
 pub const CALL_HEADER: &str = "Agatetrestle-Call";
 
-/// Header by which a backend server says that it did not start a call.
+/// Response header with which a backend server states that it did not start a call.
 pub const OUTCOME_HEADER: &str = "Agatetrestle-Outcome";
 
-/// Header of the request key.
+/// Header that holds the caller's request key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key";
 
-/// A request as it goes to a backend server.
+/// A request to a backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BackendRequest {
-    /// The program that makes the call.
+    /// The calling program.
     pub program: ProgramId,
-    /// Number of the call.
+    /// Number of the call within the program.
     pub call: CallNumber,
-    /// The caller's key, for backend servers that recognise resends.
+    /// The caller's idempotency key, for backend servers that deduplicate requests.
     pub key: RequestKey,
     /// Path and query on the backend server.
     pub path: Arc<str>,
     /// Media type of the body.
     pub content_type: Arc<str>,
-    /// The body.
+    /// Request body.
     pub body: Arc<[u8]>,
     /// Whether the request may be sent again.
     pub repeatable: Repeatable,
-    /// Whether the answer is wanted as server-sent events.
+    /// Whether the caller asked for a stream of server-sent events.
     pub stream: bool,
-    /// Time without progress after which the connection counts as silent.
+    /// Time without progress after which the exchange fails.
     pub idle_timeout: Duration,
 }
 
-/// What an exchange reports while it runs.
+/// Receives the progress of an exchange.
 pub trait ExchangeObserver {
-    /// The first byte of the request is about to be written: from here on the call may have run.
+    /// Called before the first byte of the request is written; from then on the call may have run.
     fn on_write(&self);
 
-    /// A further part of the answer came.
+    /// Called for each server-sent event of the answer except the last.
     fn on_event(&self, bytes: &[u8]);
 }
 
-/// A whole answer with what its sender said about tokens.
+/// A complete answer with its token usage.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BackendReply {
-    /// The answer, whole.
+    /// The complete answer.
     pub answer: Answer,
-    /// Tokens generated and read.
+    /// Token counts that the backend server reported.
     pub usage: TokenUsage,
-    /// The tool that the answer asks for, if it is a model's and asks for one.
+    /// The first tool that a model's answer calls.
     pub tool: Option<Arc<str>>,
 }
 
-/// Token counts of an answer; zeros for services.
+/// Token counts of an answer; zero for services.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TokenUsage {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: u64,
-    /// Tokens generated.
+    /// Generated tokens.
     pub output: u64,
-    /// Prompt tokens that the engine found in its cache.
+    /// Prompt tokens served from the engine's cache.
     pub cached: u64,
 }
 
-/// An exchange that gave no usable answer.
+/// An exchange that returned no usable answer.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub), display("{failure:?}: {detail}"))]
 pub struct ExchangeError {
-    /// How it failed.
+    /// Kind of failure.
     pub failure: Failure,
-    /// What happened, for logs and problem details.
+    /// Description for logs and problem details.
     pub detail: Arc<str>,
-    /// The whole answer, where the failure is [`Failure::Error`].
+    /// The complete answer if the failure is [`Failure::Error`].
     pub reply: Option<BackendReply>,
 }
 
-/// An order about what an engine holds for a program.
+/// A command about a program's prefix cache in an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineCommand {
-    /// Drop it, but for prefixes that other programs share.
+    /// Free it, except for prefixes shared with other programs.
     Release,
-    /// Move it out of the engine's memory.
+    /// Offload it from the engine's memory.
     Export,
-    /// Bring it back.
+    /// Load it back into the engine's memory.
     Import,
 }
 
-/// What a backend server reports of itself.
+/// A backend server's status report.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BackendReport {
-    /// Its load.
+    /// Current load.
     pub load: Load,
-    /// Changes of its prefix cache since the position that was asked for.
+    /// Changes of the prefix cache after the requested position.
     pub changes: Vec<CacheChange>,
-    /// Position to ask from next time.
+    /// Position to request next time.
     pub position: u64,
 }
 
-/// The model engines at the border of this slice.
+/// Client interface to model engines.
 pub trait EngineClient {
-    /// Sends one chat-completions request. Dropping the future closes the connection, which cancels
+    /// Sends a chat-completions request. Dropping the future closes the connection, which cancels
     /// the request at the engine.
     fn chat<'a>(
         &'a self,
         address: SocketAddr,
         priority: u8,
         request: &'a BackendRequest,
-        progress: &'a dyn ExchangeObserver,
+        observer: &'a dyn ExchangeObserver,
     ) -> LocalBoxFuture<'a, Result<BackendReply, ExchangeError>>;
 
-    /// Gives an order about a cache. Losing one is harmless.
-    fn order<'a>(
+    /// Sends a cache command. Losing one is harmless.
+    fn cache_command<'a>(
         &'a self,
         address: SocketAddr,
         program: &'a ProgramId,
-        order: EngineCommand,
+        command: EngineCommand,
     ) -> LocalBoxFuture<'a, Result<(), ExchangeError>>;
 
-    /// Asks a backend server for its load and for cache changes after a position; none where it gives no
-    /// reports.
+    /// Requests a backend server's load and its cache changes after a position; `None` if it does not
+    /// provide reports.
     fn report(
         &self,
         address: SocketAddr,
@@ -185,13 +184,13 @@
     ) -> LocalBoxFuture<'_, Result<Option<BackendReport>, ExchangeError>>;
 }
 
-/// The tool services and plain services at the border of this slice.
+/// Client interface to services.
 pub trait ServiceClient {
-    /// Sends one request.
+    /// Sends a request.
     fn call<'a>(
         &'a self,
         address: SocketAddr,
         request: &'a BackendRequest,
-        progress: &'a dyn ExchangeObserver,
+        observer: &'a dyn ExchangeObserver,
     ) -> LocalBoxFuture<'a, Result<BackendReply, ExchangeError>>;
 }
--- a/agatetrestle/src/attempts/sse.rs
+++ b/agatetrestle/src/attempts/sse.rs
@@ -1,14 +1,14 @@
-//! Server-sent events of a streamed chat completion, cut into whole events.
+//! Parser for the server-sent events of a streamed chat completion.
 
 use std::sync::Arc;
 
 use crate::attempts::TokenUsage;
 
-const SEPARATOR: &[u8] = b"\n\n";
-const DATA: &str = "data:";
-const END: &str = "[DONE]";
+const EVENT_SEPARATOR: &[u8] = b"\n\n";
+const DATA_PREFIX: &str = "data:";
+const DONE_MARKER: &str = "[DONE]";
 
-/// Cuts a stream into events and reads from them what the ledger and the scheduler need.
+/// Splits a stream into events and extracts token usage and the first tool call.
 #[derive(Debug, Default)]
 pub struct SseParser {
     buf: Vec<u8>,
@@ -24,70 +24,70 @@
 pub struct SseEvent {
     /// The event with its separator.
     pub bytes: Vec<u8>,
-    /// Whether it is the last one.
+    /// Whether it is the last event of the stream.
     pub last: bool,
 }
 
 impl SseParser {
-    /// Takes in bytes and returns the events that are now whole; nothing follows the last one.
+    /// Adds bytes and returns the events they complete. Everything after the last event is discarded.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<SseEvent> {
         self.buf.extend(bytes.iter().filter(|b| **b != b'\r'));
-        let mut pieces = Vec::new();
-        while let Some(end) = self.next_end() {
+        let mut events = Vec::new();
+        while let Some(end) = self.find_event_end() {
             let rest = self.buf.split_off(end);
             let event = std::mem::replace(&mut self.buf, rest);
             self.scanned = 0;
             if self.ended {
                 continue;
             }
-            let last = self.read(&event);
-            pieces.push(SseEvent { bytes: event, last });
+            let last = self.parse_event(&event);
+            events.push(SseEvent { bytes: event, last });
         }
-        pieces
+        events
     }
 
-    /// Whether the last event came.
+    /// Whether the last event was received.
     #[must_use]
     pub fn ended(&self) -> bool {
         self.ended
     }
 
-    /// Token counts as the engine reported them, or else the number of deltas.
+    /// Token counts reported by the engine; without them, the number of deltas as output.
     #[must_use]
     pub fn usage(&self) -> TokenUsage {
         self.usage.unwrap_or(TokenUsage { output: self.deltas, ..TokenUsage::default() })
     }
 
-    /// The first tool that the answer asks for.
+    /// The first tool that the answer calls.
     #[must_use]
     pub fn tool(&self) -> Option<Arc<str>> {
         self.tool.clone()
     }
 
-    fn next_end(&mut self) -> Option<usize> {
-        let from = self.scanned.saturating_sub(1);
-        let found = self.buf[from..].windows(SEPARATOR.len()).position(|w| w == SEPARATOR);
+    fn find_event_end(&mut self) -> Option<usize> {
+        let start = self.scanned.saturating_sub(1);
+        let found = self.buf[start..].windows(EVENT_SEPARATOR.len()).position(|w| w == EVENT_SEPARATOR);
         self.scanned = self.buf.len();
-        found.map(|at| from + at + SEPARATOR.len())
+        found.map(|at| start + at + EVENT_SEPARATOR.len())
     }
 
-    fn read(&mut self, event: &[u8]) -> bool {
+    fn parse_event(&mut self, event: &[u8]) -> bool {
         let text = String::from_utf8_lossy(event);
         for line in text.lines() {
-            let Some(data) = line.strip_prefix(DATA) else {
+            let Some(data) = line.strip_prefix(DATA_PREFIX) else {
                 continue;
             };
             let data = data.trim();
-            if data == END {
+            if data == DONE_MARKER {
                 self.ended = true;
                 return true;
             }
-            self.count(data);
+            self.parse_data(data);
         }
         false
     }
 
-    fn count(&mut self, data: &str) {
+    fn parse_data(&mut self, data: &str) {
         if data.contains("\"delta\"") {
             self.deltas += 1;
         }
@@ -101,7 +101,7 @@
     }
 }
 
-/// Reads the name of the first tool that a chat completion, or a part of one, asks for.
+/// Reads the name of the first tool that a chat completion or a chunk of one calls.
 #[must_use]
 pub fn tool_of(value: &serde_json::Value) -> Option<Arc<str>> {
     let choice = value.get("choices")?.get(0)?;
@@ -114,12 +114,12 @@
 #[must_use]
 pub fn usage_of(value: &serde_json::Value) -> Option<TokenUsage> {
     let usage = value.get("usage")?.as_object()?;
-    let number = |name: &str| usage.get(name).and_then(serde_json::Value::as_u64).unwrap_or(0);
+    let count = |name: &str| usage.get(name).and_then(serde_json::Value::as_u64).unwrap_or(0);
     let details = usage.get("prompt_tokens_details");
     let cached = details.and_then(|d| d.get("cached_tokens")).and_then(serde_json::Value::as_u64);
     Some(TokenUsage {
-        prompt: number("prompt_tokens"),
-        output: number("completion_tokens"),
+        prompt: count("prompt_tokens"),
+        output: count("completion_tokens"),
         cached: cached.unwrap_or(0),
     })
 }
--- a/agatetrestle/src/attempts/sse/tests.rs
+++ b/agatetrestle/src/attempts/sse/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of cutting streams into events.
+//! Tests of the event stream parser.
 
 use super::*;
 
@@ -12,36 +12,36 @@
 );
 
 #[test]
-fn every_cut_gives_the_same_events() {
-    let whole = SseParser::default().push(STREAM.as_bytes());
-    assert_eq!(whole.iter().map(|p| p.last).collect::<Vec<_>>(), [false, false, false, true]);
+fn chunk_size_does_not_change_the_events() {
+    let expected = SseParser::default().push(STREAM.as_bytes());
+    assert_eq!(expected.iter().map(|event| event.last).collect::<Vec<_>>(), [false, false, false, true]);
     for size in 1..40 {
-        let mut splitter = SseParser::default();
-        let pieces: Vec<SseEvent> = STREAM.as_bytes().chunks(size).flat_map(|c| splitter.push(c)).collect();
-        assert_eq!(pieces, whole, "in parts of {size}");
-        assert!(splitter.ended());
-        assert_eq!(splitter.usage(), TokenUsage { prompt: 7, output: 2, cached: 3 });
+        let mut parser = SseParser::default();
+        let events: Vec<SseEvent> = STREAM.as_bytes().chunks(size).flat_map(|c| parser.push(c)).collect();
+        assert_eq!(events, expected, "in chunks of {size} bytes");
+        assert!(parser.ended());
+        assert_eq!(parser.usage(), TokenUsage { prompt: 7, output: 2, cached: 3 });
     }
 }
 
 #[test]
-fn the_first_tool_that_is_asked_for_is_found() {
+fn returns_the_first_tool_call() {
     let call = |name: &str| format!("{{\"tool_calls\":[{{\"function\":{{\"name\":\"{name}\"}}}}]}}");
     let event = |name: &str| format!("data: {{\"choices\":[{{\"delta\":{}}}]}}\n\n", call(name));
-    let mut splitter = SseParser::default();
-    splitter.push(STREAM.split("data: [DONE]").next().unwrap().as_bytes());
-    assert_eq!(splitter.tool(), None);
-    splitter.push((event("rota") + &event("bookings")).as_bytes());
-    assert_eq!(splitter.tool().as_deref(), Some("rota"));
-    let whole = format!("{{\"choices\":[{{\"message\":{}}}]}}", call("rota"));
-    assert_eq!(tool_of(&serde_json::from_str(&whole).unwrap()).as_deref(), Some("rota"));
+    let mut parser = SseParser::default();
+    parser.push(STREAM.split("data: [DONE]").next().unwrap().as_bytes());
+    assert_eq!(parser.tool(), None);
+    parser.push((event("rota") + &event("bookings")).as_bytes());
+    assert_eq!(parser.tool().as_deref(), Some("rota"));
+    let completion = format!("{{\"choices\":[{{\"message\":{}}}]}}", call("rota"));
+    assert_eq!(tool_of(&serde_json::from_str(&completion).unwrap()).as_deref(), Some("rota"));
 }
 
 #[test]
-fn a_stream_without_its_end_is_not_ended() {
-    let mut splitter = SseParser::default();
-    let pieces = splitter.push(&STREAM.as_bytes()[..60]);
-    assert_eq!(pieces.len(), 1);
-    assert!(!splitter.ended());
-    assert_eq!(splitter.usage(), TokenUsage { output: 1, ..TokenUsage::default() });
+fn truncated_stream_is_not_ended() {
+    let mut parser = SseParser::default();
+    let events = parser.push(&STREAM.as_bytes()[..60]);
+    assert_eq!(events.len(), 1);
+    assert!(!parser.ended());
+    assert_eq!(parser.usage(), TokenUsage { output: 1, ..TokenUsage::default() });
 }
--- a/agatetrestle/src/attempts/timer.rs
+++ b/agatetrestle/src/attempts/timer.rs
@@ -1,4 +1,4 @@
-//! Sleeping, as a border, so that tests never wait out a timeout.
+//! Timers behind a trait, so that tests control the passing of time.
 
 use std::future::Future;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use futures::future::LocalBoxFuture;
 use smol::future::or;
 
-/// Wakes a task after a span of time.
+/// Source of timeouts.
 pub trait Timer {
-    /// Completes once `span` has passed.
-    fn after(&self, span: Duration) -> LocalBoxFuture<'static, ()>;
+    /// Completes after `duration`.
+    fn after(&self, duration: Duration) -> LocalBoxFuture<'static, ()>;
 }
 
 /// The operating system's timer.
@@ -17,18 +17,22 @@
 pub struct SystemTimer;
 
 impl Timer for SystemTimer {
-    fn after(&self, span: Duration) -> LocalBoxFuture<'static, ()> {
+    fn after(&self, duration: Duration) -> LocalBoxFuture<'static, ()> {
         Box::pin(async move {
-            smol::Timer::after(span).await;
+            smol::Timer::after(duration).await;
         })
     }
 }
 
-/// Runs a future for at most `span`; none if it was not ready by then.
-pub async fn with_timeout<T>(timer: &dyn Timer, span: Duration, work: impl Future<Output = T>) -> Option<T> {
-    let limit = timer.after(span);
-    or(async { Some(work.await) }, async {
-        limit.await;
+/// Runs a future for at most `duration`; `None` if it did not complete in time.
+pub async fn with_timeout<T>(
+    timer: &dyn Timer,
+    duration: Duration,
+    future: impl Future<Output = T>,
+) -> Option<T> {
+    let timeout = timer.after(duration);
+    or(async { Some(future.await) }, async {
+        timeout.await;
         None
     })
     .await
