--- a/agatetrestle/src/retention/mod.rs
+++ b/agatetrestle/src/retention/mod.rs
@@ -1,4 +1,4 @@
-//! Retention: what stays in engine memory while a program pauses; see
+//! Retention of prompt prefixes in engine caches while a program pauses; see
 //! docs/design/006-placing-and-retention.md.
 
 pub mod cache_usage;
--- a/agatetrestle/src/retention/pauses.rs
+++ b/agatetrestle/src/retention/pauses.rs
@@ -1,4 +1,4 @@
-//! How long programs stay away, learned by class and tool.
+//! Histograms of the pauses of programs by class and tool.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,30 +6,31 @@
 
 use crate::clock::micros;
 
-const BUCKETS: usize = 48;
+const BUCKET_COUNT: usize = 48;
 const BUCKETS_PER_DOUBLING: u32 = 2;
-const SMALLEST: u64 = 1_000;
-const FORGET_AFTER: u32 = 4_096;
-const DEFAULT_RETURN: Duration = Duration::from_secs(5);
-const ENOUGH: u32 = 8;
+const MIN_BUCKET_MICROS: u64 = 1_000;
+/// Number of samples at which all counts are halved, so that old pauses lose weight.
+const DECAY_SAMPLE_COUNT: u32 = 4_096;
+const DEFAULT_PAUSE: Duration = Duration::from_secs(5);
+const MIN_SAMPLES: u32 = 8;
 
 #[derive(Clone, Debug)]
 struct Histogram {
-    counts: [u32; BUCKETS],
+    counts: [u32; BUCKET_COUNT],
     total: u32,
 }
 
 impl Default for Histogram {
     fn default() -> Self {
-        Self { counts: [0; BUCKETS], total: 0 }
+        Self { counts: [0; BUCKET_COUNT], total: 0 }
     }
 }
 
 impl Histogram {
-    fn record(&mut self, away: Duration) {
-        self.counts[bucket(away)] += 1;
+    fn record(&mut self, pause: Duration) {
+        self.counts[bucket_of(pause)] += 1;
         self.total += 1;
-        if self.total < FORGET_AFTER {
+        if self.total < DECAY_SAMPLE_COUNT {
             return;
         }
         for count in &mut self.counts {
@@ -39,58 +40,59 @@
     }
 
     fn quantile(&self, percent: u32) -> Option<Duration> {
-        if self.total < ENOUGH {
+        if self.total < MIN_SAMPLES {
             return None;
         }
-        let wanted = self.total * percent / 100;
-        let mut seen = 0;
-        for (at, count) in self.counts.iter().enumerate() {
-            seen += count;
-            if seen > wanted {
-                return Some(upper(at));
+        let rank = self.total * percent / 100;
+        let mut cumulative = 0;
+        for (bucket, count) in self.counts.iter().enumerate() {
+            cumulative += count;
+            if cumulative > rank {
+                return Some(upper_bound(bucket));
             }
         }
-        Some(upper(BUCKETS - 1))
+        Some(upper_bound(BUCKET_COUNT - 1))
     }
 }
 
-/// Histograms of the time between an answer and the next call, by class and tool and by class.
+/// Histograms of the time between an answer and the next call, per class and per class and tool.
 #[derive(Debug, Default)]
 pub struct PauseHistograms {
-    by_tool: HashMap<(Arc<str>, Option<Arc<str>>), Histogram>,
+    histograms: HashMap<(Arc<str>, Option<Arc<str>>), Histogram>,
 }
 
 impl PauseHistograms {
-    /// Takes in a pause that is over.
-    pub fn record(&mut self, class: &Arc<str>, tool: Option<&Arc<str>>, away: Duration) {
-        self.by_tool.entry((class.clone(), None)).or_default().record(away);
+    /// Records a completed pause.
+    pub fn record(&mut self, class: &Arc<str>, tool: Option<&Arc<str>>, pause: Duration) {
+        self.histograms.entry((class.clone(), None)).or_default().record(pause);
         if let Some(tool) = tool {
-            self.by_tool.entry((class.clone(), Some(tool.clone()))).or_default().record(away);
+            self.histograms.entry((class.clone(), Some(tool.clone()))).or_default().record(pause);
         }
     }
 
-    /// The time by which this share of pauses, in percent, was over.
+    /// The duration that `percent` of the pauses did not exceed, for the tool if enough are known, otherwise
+    /// for the class.
     #[must_use]
     pub fn quantile(&self, class: &Arc<str>, tool: Option<&Arc<str>>, percent: u32) -> Duration {
-        let of = |tool: Option<Arc<str>>| {
-            let histogram = self.by_tool.get(&(class.clone(), tool));
+        let quantile = |tool: Option<Arc<str>>| {
+            let histogram = self.histograms.get(&(class.clone(), tool));
             histogram.and_then(|histogram| histogram.quantile(percent))
         };
-        let known = tool.and_then(|tool| of(Some(tool.clone())));
-        known.or_else(|| of(None)).unwrap_or(DEFAULT_RETURN)
+        let for_tool = tool.and_then(|tool| quantile(Some(tool.clone())));
+        for_tool.or_else(|| quantile(None)).unwrap_or(DEFAULT_PAUSE)
     }
 }
 
-fn bucket(away: Duration) -> usize {
-    let ratio = (micros(away) / SMALLEST).max(1);
+fn bucket_of(pause: Duration) -> usize {
+    let ratio = (micros(pause) / MIN_BUCKET_MICROS).max(1);
     let doublings = ratio.ilog2();
     let half = u32::from(ratio >= (3u64 << doublings) / 2);
-    usize::try_from(doublings * BUCKETS_PER_DOUBLING + half).unwrap_or(BUCKETS).min(BUCKETS - 1)
+    usize::try_from(doublings * BUCKETS_PER_DOUBLING + half).unwrap_or(BUCKET_COUNT).min(BUCKET_COUNT - 1)
 }
 
-fn upper(bucket: usize) -> Duration {
+fn upper_bound(bucket: usize) -> Duration {
     let bucket = u32::try_from(bucket).unwrap_or_default();
-    let base = SMALLEST << (bucket / BUCKETS_PER_DOUBLING);
+    let base = MIN_BUCKET_MICROS << (bucket / BUCKETS_PER_DOUBLING);
     let half = u64::from(bucket % BUCKETS_PER_DOUBLING);
     Duration::from_micros(base * (3 + half) / 2)
 }
