--- a/agatetrestle/src/history/file.rs
+++ b/agatetrestle/src/history/file.rs
@@ -1,4 +1,4 @@
-//! A history in segment files, each named by the offset of its first byte.
+//! History in segment files, each named after the offset of its first byte.
 
 use std::fs::File;
 use std::fs::OpenOptions;
@@ -15,42 +15,42 @@
 use crate::history::IoSnafu;
 use crate::history::PastEndSnafu;
 use crate::history::RecordLocation;
-use crate::history::checked;
-use crate::history::record;
+use crate::history::locate;
+use crate::history::verify;
 
-/// Bytes that are gathered before they are written out.
-const BUFFER: usize = 256 << 10;
-/// Ending of the names of segments.
-const EXTENSION: &str = "history";
+/// Buffered bytes above which the buffer is written out.
+const WRITE_BUFFER_BYTES: usize = 256 << 10;
+/// File name extension of segments.
+const SEGMENT_EXTENSION: &str = "history";
 
 #[derive(Debug)]
 struct Segment {
     start: u64,
-    /// Bytes written out.
+    /// Length of the file in bytes.
     written: u64,
     path: PathBuf,
     file: File,
 }
 
-/// The segments of one group, with the bytes that are not written out yet.
+/// Segment files of one group with a write buffer.
 #[derive(Debug)]
 pub struct FileHistory {
     folder: PathBuf,
     segment_bytes: u64,
     segments: Vec<Segment>,
     buffer: Vec<u8>,
-    /// First segment that was written to since the last flush.
-    dirty: usize,
-    /// A write that failed; told by the next flush, because a state machine can't fail to append.
-    failure: Option<HistoryError>,
+    /// Index of the first segment written to since the last flush.
+    first_dirty: usize,
+    /// Write error that the next flush returns, because append can't fail.
+    write_error: Option<HistoryError>,
 }
 
 impl FileHistory {
-    /// Opens the segments in a folder, or creates the first.
+    /// Opens the segments in a folder, or creates the first one.
     ///
     /// # Errors
     ///
-    /// Fails if the folder can't be used or a segment is missing between two others.
+    /// Fails if a file operation fails or a segment is missing.
     pub fn open(folder: &Path, segment_bytes: u64) -> Result<Self, HistoryError> {
         std::fs::create_dir_all(folder).context(IoSnafu { file: folder })?;
         let mut history = Self {
@@ -58,8 +58,8 @@
             segment_bytes,
             segments: Vec::new(),
             buffer: Vec::new(),
-            dirty: 0,
-            failure: None,
+            first_dirty: 0,
+            write_error: None,
         };
         for start in segment_starts(folder)? {
             history.open_segment(start)?;
@@ -73,7 +73,7 @@
     fn open_segment(&mut self, start: u64) -> Result<(), HistoryError> {
         let end = self.written_end();
         ensure!(end == start, PastEndSnafu { end, wanted: start });
-        let path = self.folder.join(format!("{start:020}.{EXTENSION}"));
+        let path = self.folder.join(format!("{start:020}.{SEGMENT_EXTENSION}"));
         let mut options = OpenOptions::new();
         let opened = options.create(true).truncate(false).read(true).write(true).open(&path);
         let file = opened.context(IoSnafu { file: &path })?;
@@ -91,38 +91,38 @@
             self.open_segment(self.written_end())?;
         }
         if let Some(segment) = self.segments.last_mut() {
-            let outcome = segment.file.write_all_at(&self.buffer, segment.written);
-            outcome.context(IoSnafu { file: &segment.path })?;
+            let result = segment.file.write_all_at(&self.buffer, segment.written);
+            result.context(IoSnafu { file: &segment.path })?;
             segment.written += self.buffer.len() as u64;
             self.buffer.clear();
         }
         Ok(())
     }
 
-    fn write_out_if_due(&mut self) {
-        if self.buffer.len() < BUFFER || self.failure.is_some() {
+    fn write_out_if_full(&mut self) {
+        if self.buffer.len() < WRITE_BUFFER_BYTES || self.write_error.is_some() {
             return;
         }
-        if let Err(failure) = self.write_out() {
-            self.failure = Some(failure);
+        if let Err(error) = self.write_out() {
+            self.write_error = Some(error);
         }
     }
 
-    /// The segment that holds an offset which is written out.
+    /// The segment that holds an offset below the written end.
     fn segment_at(&self, offset: u64) -> Option<&Segment> {
-        let after = self.segments.partition_point(|segment| segment.start <= offset);
-        self.segments.get(after.checked_sub(1)?)
+        let next = self.segments.partition_point(|segment| segment.start <= offset);
+        self.segments.get(next.checked_sub(1)?)
     }
 }
 
-/// Offsets at which segments begin, in order.
+/// Sorted start offsets of the segments in a folder.
 fn segment_starts(folder: &Path) -> Result<Vec<u64>, HistoryError> {
     let mut starts = Vec::new();
     for entry in std::fs::read_dir(folder).context(IoSnafu { file: folder })? {
         let path = entry.context(IoSnafu { file: folder })?.path();
-        let ours = path.extension().is_some_and(|extension| extension == EXTENSION);
+        let is_segment = path.extension().is_some_and(|extension| extension == SEGMENT_EXTENSION);
         let stem = path.file_stem().and_then(|stem| stem.to_str());
-        if let Some(start) = stem.filter(|_| ours).and_then(|stem| stem.parse().ok()) {
+        if let Some(start) = stem.filter(|_| is_segment).and_then(|stem| stem.parse().ok()) {
             starts.push(start);
         }
     }
@@ -132,20 +132,20 @@
 
 impl History for FileHistory {
     fn append(&mut self, bytes: &[u8]) -> RecordLocation {
-        let record = record(self.end(), bytes);
+        let location = locate(self.end(), bytes);
         self.append_raw(bytes);
-        record
+        location
     }
 
-    fn read(&self, record: RecordLocation) -> Result<Arc<[u8]>, HistoryError> {
-        let mut bytes = Vec::with_capacity(record.length as usize);
-        while bytes.len() < record.length as usize {
-            let offset = record.offset + bytes.len() as u64;
-            let piece = self.read_raw(offset, record.length as usize - bytes.len())?;
-            ensure!(!piece.is_empty(), PastEndSnafu { end: self.end(), wanted: offset });
-            bytes.extend_from_slice(&piece);
+    fn read(&self, location: RecordLocation) -> Result<Arc<[u8]>, HistoryError> {
+        let mut bytes = Vec::with_capacity(location.length as usize);
+        while bytes.len() < location.length as usize {
+            let offset = location.offset + bytes.len() as u64;
+            let chunk = self.read_raw(offset, location.length as usize - bytes.len())?;
+            ensure!(!chunk.is_empty(), PastEndSnafu { end: self.end(), wanted: offset });
+            bytes.extend_from_slice(&chunk);
         }
-        checked(record, &bytes)
+        verify(location, &bytes)
     }
 
     fn end(&self) -> u64 {
@@ -162,16 +162,16 @@
         let Some(segment) = self.segment_at(offset) else {
             return Ok(Vec::new());
         };
-        let within = offset - segment.start;
-        let left = usize::try_from(segment.written - within).unwrap_or(usize::MAX);
-        let mut bytes = vec![0; left.min(limit)];
-        segment.file.read_exact_at(&mut bytes, within).context(IoSnafu { file: &segment.path })?;
+        let position = offset - segment.start;
+        let available = usize::try_from(segment.written - position).unwrap_or(usize::MAX);
+        let mut bytes = vec![0; available.min(limit)];
+        segment.file.read_exact_at(&mut bytes, position).context(IoSnafu { file: &segment.path })?;
         Ok(bytes)
     }
 
     fn append_raw(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
-        self.write_out_if_due();
+        self.write_out_if_full();
     }
 
     fn truncate(&mut self, end: u64) -> Result<(), HistoryError> {
@@ -191,22 +191,22 @@
             std::fs::remove_file(&segment.path).context(IoSnafu { file: &segment.path })?;
             self.segments.pop();
         }
-        self.dirty = self.dirty.min(self.segments.len().saturating_sub(1));
+        self.first_dirty = self.first_dirty.min(self.segments.len().saturating_sub(1));
         Ok(())
     }
 
     fn flush(&mut self) -> Result<Vec<File>, HistoryError> {
-        if let Some(failure) = self.failure.take() {
-            // What could not be written is still in the buffer, so the next flush tries again.
-            return Err(failure);
+        if let Some(error) = self.write_error.take() {
+            // The buffer still holds the unwritten bytes, so the next flush retries.
+            return Err(error);
         }
         self.write_out()?;
         let mut files = Vec::new();
-        for segment in &self.segments[self.dirty..] {
+        for segment in &self.segments[self.first_dirty..] {
             files.push(segment.file.try_clone().context(IoSnafu { file: &segment.path })?);
         }
         files.push(File::open(&self.folder).context(IoSnafu { file: &self.folder })?);
-        self.dirty = self.segments.len() - 1;
+        self.first_dirty = self.segments.len() - 1;
         Ok(files)
     }
 }
--- a/agatetrestle/src/history/memory.rs
+++ b/agatetrestle/src/history/memory.rs
@@ -1,4 +1,4 @@
-//! A history in memory, for tests and for replays.
+//! In-memory history, for tests and replays.
 
 use std::fs::File;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use crate::history::HistoryError;
 use crate::history::PastEndSnafu;
 use crate::history::RecordLocation;
-use crate::history::checked;
-use crate::history::record;
+use crate::history::locate;
+use crate::history::verify;
 
-/// All bytes in one buffer.
+/// A history in a single buffer, which is never durable.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryHistory {
     bytes: Vec<u8>,
@@ -18,16 +18,16 @@
 
 impl History for MemoryHistory {
     fn append(&mut self, bytes: &[u8]) -> RecordLocation {
-        let record = record(self.end(), bytes);
+        let location = locate(self.end(), bytes);
         self.bytes.extend_from_slice(bytes);
-        record
+        location
     }
 
-    fn read(&self, record: RecordLocation) -> Result<Arc<[u8]>, HistoryError> {
-        let bytes = self.read_raw(record.offset, record.length as usize)?;
-        let wanted = record.offset + u64::from(record.length);
-        snafu::ensure!(bytes.len() == record.length as usize, PastEndSnafu { end: self.end(), wanted });
-        checked(record, &bytes)
+    fn read(&self, location: RecordLocation) -> Result<Arc<[u8]>, HistoryError> {
+        let bytes = self.read_raw(location.offset, location.length as usize)?;
+        let wanted = location.offset + u64::from(location.length);
+        snafu::ensure!(bytes.len() == location.length as usize, PastEndSnafu { end: self.end(), wanted });
+        verify(location, &bytes)
     }
 
     fn end(&self) -> u64 {
--- a/agatetrestle/src/history/mod.rs
+++ b/agatetrestle/src/history/mod.rs
@@ -1,8 +1,8 @@
-//! Append-only bytes beside a replicated log: requests and answers, written once.
+//! Append-only store of requests and answers beside a replicated log.
 //!
-//! A snapshot only says how far it reaches into the history, so that taking one never rewrites what
-//! was stored before. Offsets count from the first byte ever appended and are the same on every replica,
-//! because every replica appends the same records in the same order; see
+//! A snapshot stores only the end offset of the history, so that taking one does not rewrite earlier
+//! records. Offsets count from the first byte ever appended and are equal on all replicas, because every
+//! replica appends the same records in the same order; see
 //! docs/design/002-ledger-and-at-most-once.md.
 
 pub mod file;
@@ -18,91 +18,91 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Where a record stands.
+/// Location and checksum of a record.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RecordLocation {
-    /// Bytes before it.
+    /// Offset of its first byte.
     pub offset: u64,
-    /// Its length in bytes.
+    /// Length in bytes.
     pub length: u32,
-    /// Checksum of its bytes.
+    /// CRC-32 of its bytes.
     pub checksum: u32,
 }
 
-/// Why bytes of the history can't be had.
+/// Failure to read, write or open a history.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(self)))]
 pub enum HistoryError {
-    /// The operating system failed.
+    /// A file operation failed.
     #[snafu(display("{}: {source}", file.display()))]
     Io {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The history ends before the record does.
+    /// The requested bytes lie past the end of the history.
     #[snafu(display("the history ends at {end}, before byte {wanted}"))]
     PastEnd {
-        /// Where it ends.
+        /// End offset of the history.
         end: u64,
-        /// The byte that was wanted.
+        /// Requested offset.
         wanted: u64,
     },
-    /// The bytes are not those that were appended.
+    /// A record does not match its checksum.
     #[snafu(display("the record at {offset} does not match its checksum"))]
     Corrupt {
-        /// Where the record stands.
+        /// Offset of the record.
         offset: u64,
     },
 }
 
-/// The store of one group.
+/// History of one group.
 pub trait History {
-    /// Appends a record. It lasts only once the files that [`History::flush`] returned are synced.
+    /// Appends a record. It is durable once the files returned by [`History::flush`] are synced.
     fn append(&mut self, bytes: &[u8]) -> RecordLocation;
 
     /// Reads a record.
     ///
     /// # Errors
     ///
-    /// Fails if the record is not there or was damaged.
-    fn read(&self, record: RecordLocation) -> Result<Arc<[u8]>, HistoryError>;
+    /// Fails if the record can't be read or does not match its checksum.
+    fn read(&self, location: RecordLocation) -> Result<Arc<[u8]>, HistoryError>;
 
-    /// Bytes appended so far.
+    /// End offset, which is the number of bytes appended so far.
     fn end(&self) -> u64;
 
-    /// Reads raw bytes for a replica that lacks them, at most `limit`; none at the end.
+    /// Reads at most `limit` raw bytes, for another replica; empty at the end. May return fewer than are stored.
     ///
     /// # Errors
     ///
     /// Fails if they can't be read.
     fn read_raw(&self, offset: u64, limit: usize) -> Result<Vec<u8>, HistoryError>;
 
-    /// Takes in raw bytes that follow the end.
+    /// Appends raw bytes received from another replica.
     fn append_raw(&mut self, bytes: &[u8]);
 
-    /// Drops everything from an offset on, which the log will append again.
+    /// Truncates to an end offset; replaying the log appends the rest again.
     ///
     /// # Errors
     ///
-    /// Fails if the history is shorter than that.
+    /// Fails if the history ends before that offset or a file operation fails.
     fn truncate(&mut self, end: u64) -> Result<(), HistoryError>;
 
-    /// Writes out what was appended, and returns the files to be synced before a snapshot may rely on it.
+    /// Writes out buffered bytes and returns the files to sync before a snapshot may refer to them.
     ///
     /// # Errors
     ///
-    /// Fails if anything since the last flush could not be written.
+    /// Fails if a write since the last flush failed.
     fn flush(&mut self) -> Result<Vec<File>, HistoryError>;
 }
 
-fn record(offset: u64, bytes: &[u8]) -> RecordLocation {
+fn locate(offset: u64, bytes: &[u8]) -> RecordLocation {
     let length = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
     RecordLocation { offset, length, checksum: crc32fast::hash(bytes) }
 }
 
-fn checked(record: RecordLocation, bytes: &[u8]) -> Result<Arc<[u8]>, HistoryError> {
-    snafu::ensure!(crc32fast::hash(bytes) == record.checksum, CorruptSnafu { offset: record.offset });
+fn verify(location: RecordLocation, bytes: &[u8]) -> Result<Arc<[u8]>, HistoryError> {
+    snafu::ensure!(crc32fast::hash(bytes) == location.checksum, CorruptSnafu { offset: location.offset });
     Ok(Arc::from(bytes))
 }
--- a/agatetrestle/src/history/tests.rs
+++ b/agatetrestle/src/history/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the history on files, against the one in memory.
+//! Tests of the file history against the in-memory one.
 
 use std::path::PathBuf;
 
@@ -7,11 +7,11 @@
 use crate::history::file::FileHistory;
 use crate::history::memory::MemoryHistory;
 
-const SEGMENT: u64 = 300_000;
+const SEGMENT_BYTES: u64 = 300_000;
 
-struct Folder(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("agatetrestle-history-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
@@ -19,9 +19,9 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
-        // A folder that stays behind is no failure of the code under test.
+        // Failing to clean up must not fail the test.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -31,52 +31,52 @@
 }
 
 #[test]
-fn records_are_read_back_from_buffer_and_segments() {
-    let folder = Folder::new("read");
-    let mut files = FileHistory::open(&folder.0, SEGMENT).unwrap();
+fn reads_records_from_buffer_and_segments() {
+    let folder = TempFolder::new("read");
+    let mut history = FileHistory::open(&folder.0, SEGMENT_BYTES).unwrap();
     let mut memory = MemoryHistory::default();
-    let records: Vec<_> = (0..700).map(|index| files.append(&body(index))).collect();
+    let records: Vec<_> = (0..700).map(|index| history.append(&body(index))).collect();
     for (record, index) in records.iter().zip(0..) {
         assert_eq!(memory.append(&body(index)), *record);
-        assert_eq!(*files.read(*record).unwrap(), body(index));
+        assert_eq!(*history.read(*record).unwrap(), body(index));
     }
-    assert!(std::fs::read_dir(&folder.0).unwrap().count() > 2, "several segments were begun");
+    assert!(std::fs::read_dir(&folder.0).unwrap().count() > 2, "expected several segments");
 }
 
 #[test]
-fn a_restart_truncates_to_the_snapshot_and_appends_again() {
-    let folder = Folder::new("restart");
-    let mut files = FileHistory::open(&folder.0, SEGMENT).unwrap();
-    let kept: Vec<_> = (0..300).map(|index| files.append(&body(index))).collect();
-    let end = files.end();
-    for file in files.flush().unwrap() {
+fn truncates_to_the_snapshot_after_restart() {
+    let folder = TempFolder::new("restart");
+    let mut history = FileHistory::open(&folder.0, SEGMENT_BYTES).unwrap();
+    let kept: Vec<_> = (0..300).map(|index| history.append(&body(index))).collect();
+    let end = history.end();
+    for file in history.flush().unwrap() {
         file.sync_all().unwrap();
     }
     for index in 300..600 {
-        files.append(&body(index));
+        history.append(&body(index));
     }
-    files.flush().unwrap();
-    drop(files);
-    let mut again = FileHistory::open(&folder.0, SEGMENT).unwrap();
-    again.truncate(end).unwrap();
-    assert_eq!(again.end(), end);
-    let next = again.append(b"after");
-    assert_eq!(*again.read(next).unwrap(), *b"after");
+    history.flush().unwrap();
+    drop(history);
+    let mut reopened = FileHistory::open(&folder.0, SEGMENT_BYTES).unwrap();
+    reopened.truncate(end).unwrap();
+    assert_eq!(reopened.end(), end);
+    let next = reopened.append(b"after");
+    assert_eq!(*reopened.read(next).unwrap(), *b"after");
     for (record, index) in kept.iter().zip(0..) {
-        assert_eq!(*again.read(*record).unwrap(), body(index));
+        assert_eq!(*reopened.read(*record).unwrap(), body(index));
     }
-    assert!(matches!(again.truncate(again.end() + 1), Err(HistoryError::PastEnd { .. })));
+    assert!(matches!(reopened.truncate(reopened.end() + 1), Err(HistoryError::PastEnd { .. })));
 }
 
 #[test]
-fn a_replica_that_lacks_bytes_takes_them_from_another() {
-    let folder = Folder::new("copy");
-    let mut source = FileHistory::open(&folder.0, SEGMENT).unwrap();
+fn copies_missing_bytes_from_another_replica() {
+    let folder = TempFolder::new("copy");
+    let mut source = FileHistory::open(&folder.0, SEGMENT_BYTES).unwrap();
     let records: Vec<_> = (0..300).map(|index| source.append(&body(index))).collect();
     let mut copy = MemoryHistory::default();
     while copy.end() < source.end() {
-        let piece = source.read_raw(copy.end(), 10_000).unwrap();
-        copy.append_raw(&piece);
+        let chunk = source.read_raw(copy.end(), 10_000).unwrap();
+        copy.append_raw(&chunk);
     }
     for (record, index) in records.iter().zip(0..) {
         assert_eq!(*copy.read(*record).unwrap(), body(index));
@@ -84,12 +84,12 @@
 }
 
 #[test]
-fn damage_is_told_and_not_passed_on() {
-    let folder = Folder::new("damage");
-    let mut files = FileHistory::open(&folder.0, SEGMENT).unwrap();
-    let record = files.append(b"progress record");
-    files.flush().unwrap();
+fn reports_corrupt_records() {
+    let folder = TempFolder::new("damage");
+    let mut history = FileHistory::open(&folder.0, SEGMENT_BYTES).unwrap();
+    let record = history.append(b"progress record");
+    history.flush().unwrap();
     let path = folder.0.join("00000000000000000000.history");
     std::fs::write(&path, b"progress recorx").unwrap();
-    assert!(matches!(files.read(record), Err(HistoryError::Corrupt { offset: 0 })));
+    assert!(matches!(history.read(record), Err(HistoryError::Corrupt { offset: 0 })));
 }
