--- a/agatetrestle/src/admission/mod.rs
+++ b/agatetrestle/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission: whose call goes next, how many may be in service, and which are turned away; see
+//! Admission of calls and programs: fair queuing, limits of prefix cache tokens and retry budgets; see
 //! docs/design/007-partner-isolation.md.
 
 pub mod queue;
--- a/agatetrestle/src/admission/queue.rs
+++ b/agatetrestle/src/admission/queue.rs
@@ -1,7 +1,7 @@
-//! The calls that wait for one pool, shared among partners and their teams by weight.
+//! Weighted fair queue of the calls for one pool, in two levels: partners and their teams.
 //!
-//! Calls go in order of rank. A partner or team that has run ahead of its share by more than the
-//! slack waits while others have calls waiting; with nobody else waiting it gets everything.
+//! Calls leave in order of rank. A partner or team that is ahead of its share by more than the slack is
+//! skipped while others have waiting calls.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,29 +14,30 @@
     pub struct CallKey;
 }
 
-/// A waiting call.
+/// Queue entry of a waiting call.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct QueuedCall {
-    /// The lowest goes first.
+    /// Calls with lower ranks leave first.
     pub rank: u64,
-    /// Equal ranks go in order of entry.
+    /// Calls of equal rank leave in order of arrival.
     pub sequence: u64,
-    /// The call.
+    /// Key of the waiting call.
     pub call: CallKey,
 }
 
-/// Whose call it is.
+/// The partner and team that a call is accounted to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Owner {
-    /// The partner.
+    /// The partner's name.
     pub partner: Arc<str>,
-    /// The team within the partner.
+    /// The team's name, unique within the partner.
     pub team: Arc<str>,
 }
 
 #[derive(Debug, Default)]
 struct Team {
     weight: u64,
+    /// Service received, divided by the weight.
     served: u64,
     waiting: BTreeSet<QueuedCall>,
 }
@@ -46,99 +47,98 @@
     weight: u64,
     served: u64,
     waiting: usize,
-    reached: u64,
+    virtual_time: u64,
     teams: BTreeMap<Arc<str>, Team>,
 }
 
-/// The queue of one pool.
+/// Waiting calls of one pool.
 #[derive(Debug)]
 pub struct FairQueue {
     slack: u64,
     team_slack: u64,
-    reached: u64,
+    virtual_time: u64,
     len: usize,
     partners: BTreeMap<Arc<str>, Partner>,
 }
 
 impl FairQueue {
-    /// An empty queue; slacks of partners and teams are in microseconds of engine time for a weight
-    /// of 1.
+    /// Creates an empty queue. The slacks are in microseconds of engine time for a weight of 1.
     #[must_use]
     pub fn new(slack: u64, team_slack: u64) -> Self {
-        Self { slack, team_slack, reached: 0, len: 0, partners: BTreeMap::new() }
+        Self { slack, team_slack, virtual_time: 0, len: 0, partners: BTreeMap::new() }
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no call waits.
+    /// Whether no calls are waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Sets the weight of a partner's team and of the partner.
+    /// Sets the weights of a partner and of one of its teams.
     pub fn set_weights(&mut self, owner: &Owner, partner: u32, team: u32) {
         let entry = self.partners.entry(owner.partner.clone()).or_default();
         entry.weight = u64::from(partner.max(1));
         entry.teams.entry(owner.team.clone()).or_default().weight = u64::from(team.max(1));
     }
 
-    /// Adds a waiting call. One that was idle starts level with the others, without credit for
-    /// the time in which it asked for nothing.
-    pub fn push(&mut self, owner: &Owner, ticket: QueuedCall) {
+    /// Adds a call. A partner or team that had none waiting resumes at the current virtual time, without
+    /// credit for the time it was idle.
+    pub fn push(&mut self, owner: &Owner, call: QueuedCall) {
         let partner = self.partners.entry(owner.partner.clone()).or_default();
         if partner.waiting == 0 {
-            partner.served = partner.served.max(self.reached.saturating_sub(self.slack));
+            partner.served = partner.served.max(self.virtual_time.saturating_sub(self.slack));
         }
         let team = partner.teams.entry(owner.team.clone()).or_default();
         if team.waiting.is_empty() {
-            team.served = team.served.max(partner.reached.saturating_sub(self.team_slack));
+            team.served = team.served.max(partner.virtual_time.saturating_sub(self.team_slack));
         }
-        if team.waiting.insert(ticket) {
+        if team.waiting.insert(call) {
             partner.waiting += 1;
             self.len += 1;
         }
     }
 
-    /// Takes out the call that goes next.
+    /// Removes and returns the next call.
     pub fn pop(&mut self) -> Option<(Owner, QueuedCall)> {
         let slack = self.slack;
-        let least = self.partners.values().filter(|p| p.waiting > 0).map(|p| p.served).min()?;
-        let bound = least.saturating_add(slack);
-        let chosen = self.partners.iter().filter(|(_, p)| p.waiting > 0 && p.served <= bound);
-        let best = chosen.filter_map(|(name, partner)| {
-            let (team, ticket) = partner.next(self.team_slack)?;
-            Some((ticket, name.clone(), team))
+        let min_served = self.partners.values().filter(|p| p.waiting > 0).map(|p| p.served).min()?;
+        let bound = min_served.saturating_add(slack);
+        let eligible = self.partners.iter().filter(|(_, p)| p.waiting > 0 && p.served <= bound);
+        let candidates = eligible.filter_map(|(name, partner)| {
+            let (team, call) = partner.next(self.team_slack)?;
+            Some((call, name.clone(), team))
         });
-        let (ticket, partner, team) = best.min_by_key(|(ticket, _, _)| *ticket)?;
+        let (call, partner, team) = candidates.min_by_key(|(call, _, _)| *call)?;
         let owner = Owner { partner, team };
-        self.remove(&owner, ticket);
-        self.reached = self.reached.max(least);
-        Some((owner, ticket))
+        self.remove(&owner, call);
+        self.virtual_time = self.virtual_time.max(min_served);
+        Some((owner, call))
     }
 
-    /// Takes out one call.
-    pub fn remove(&mut self, owner: &Owner, ticket: QueuedCall) -> bool {
+    /// Removes a call; false if it is not queued.
+    pub fn remove(&mut self, owner: &Owner, call: QueuedCall) -> bool {
         let Some(partner) = self.partners.get_mut(&owner.partner) else {
             return false;
         };
         let Some(team) = partner.teams.get_mut(&owner.team) else {
             return false;
         };
-        if !team.waiting.remove(&ticket) {
+        if !team.waiting.remove(&call) {
             return false;
         }
-        partner.reached = partner.reached.max(team.served);
+        partner.virtual_time = partner.virtual_time.max(team.served);
         partner.waiting -= 1;
         self.len -= 1;
         true
     }
 
-    /// Counts service in microseconds of engine time.
+    /// Charges service in microseconds of engine time.
     pub fn charge(&mut self, owner: &Owner, service: u64) {
         let Some(partner) = self.partners.get_mut(&owner.partner) else {
             return;
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Takes back service that was counted and not given.
+    /// Reverts a charge for service that was not used.
     pub fn refund(&mut self, owner: &Owner, service: u64) {
         let Some(partner) = self.partners.get_mut(&owner.partner) else {
             return;
@@ -164,11 +164,11 @@
 impl Partner {
     fn next(&self, slack: u64) -> Option<(Arc<str>, QueuedCall)> {
         let waiting = || self.teams.iter().filter(|(_, team)| !team.waiting.is_empty());
-        let least = waiting().map(|(_, team)| team.served).min()?;
-        let bound = least.saturating_add(slack);
+        let min_served = waiting().map(|(_, team)| team.served).min()?;
+        let bound = min_served.saturating_add(slack);
         waiting()
             .filter(|(_, team)| team.served <= bound)
-            .filter_map(|(name, team)| team.waiting.first().map(|ticket| (name.clone(), *ticket)))
-            .min_by_key(|(_, ticket)| *ticket)
+            .filter_map(|(name, team)| team.waiting.first().map(|call| (name.clone(), *call)))
+            .min_by_key(|(_, call)| *call)
     }
 }
--- a/agatetrestle/src/admission/retry.rs
+++ b/agatetrestle/src/admission/retry.rs
@@ -1,50 +1,50 @@
-//! Retry budgets: a partner's retries are a share of its recent successes, so that failing backend
+//! Retry budgets: limits a partner's retries to a share of its successes, so that failing backend
 //! servers don't multiply the load.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-const PERCENT: u64 = 100;
-const MOST_SAVED: u64 = 20 * PERCENT;
-const AT_START: u64 = 5 * PERCENT;
+const HUNDREDTHS_PER_RETRY: u64 = 100;
+const MAX_BALANCE_HUNDREDTHS: u64 = 20 * HUNDREDTHS_PER_RETRY;
+const INITIAL_BALANCE_HUNDREDTHS: u64 = 5 * HUNDREDTHS_PER_RETRY;
 
-/// Retries that each partner may still make, in hundredths.
+/// Retry balance of each partner, in hundredths of a retry.
 #[derive(Debug)]
 pub struct RetryBudgets {
-    earned: u64,
-    saved: HashMap<Arc<str>, u64>,
+    earned_per_success: u64,
+    balances: HashMap<Arc<str>, u64>,
 }
 
 impl RetryBudgets {
-    /// Budgets that earn so many retries by a hundred successes.
+    /// Creates budgets that earn `percent` retries per hundred successes.
     #[must_use]
     pub fn new(percent: u64) -> Self {
-        Self { earned: percent, saved: HashMap::new() }
+        Self { earned_per_success: percent, balances: HashMap::new() }
     }
 
-    /// Counts a success.
+    /// Credits a successful call.
     pub fn record_success(&mut self, partner: &Arc<str>) {
-        let earned = self.earned;
-        if let Some(saved) = self.saved.get_mut(partner) {
-            *saved = (*saved + earned).min(MOST_SAVED);
+        let earned = self.earned_per_success;
+        if let Some(balance) = self.balances.get_mut(partner) {
+            *balance = (*balance + earned).min(MAX_BALANCE_HUNDREDTHS);
             return;
         }
-        self.saved.insert(partner.clone(), AT_START + earned);
+        self.balances.insert(partner.clone(), INITIAL_BALANCE_HUNDREDTHS + earned);
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Takes one retry from the budget; false if it is exhausted.
     pub fn take(&mut self, partner: &Arc<str>) -> bool {
-        let saved = self.saved.entry(partner.clone()).or_insert(AT_START);
-        let Some(left) = saved.checked_sub(PERCENT) else {
+        let balance = self.balances.entry(partner.clone()).or_insert(INITIAL_BALANCE_HUNDREDTHS);
+        let Some(remaining) = balance.checked_sub(HUNDREDTHS_PER_RETRY) else {
             return false;
         };
-        *saved = left;
+        *balance = remaining;
         true
     }
 
-    /// Retries left, in hundredths.
+    /// The partner's balance, in hundredths of a retry.
     #[must_use]
     pub fn remaining(&self, partner: &Arc<str>) -> u64 {
-        self.saved.get(partner).copied().unwrap_or(AT_START)
+        self.balances.get(partner).copied().unwrap_or(INITIAL_BALANCE_HUNDREDTHS)
     }
 }
--- a/agatetrestle/src/admission/tests.rs
+++ b/agatetrestle/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Shares, budgets and doors never go below zero or above their limit, and nobody starves.
+//! Property tests of the fair queue, retry budgets and token reservations.
 
 use std::sync::Arc;
 
@@ -20,10 +20,10 @@
 use crate::admission::retry::RetryBudgets;
 use crate::admission::tokens::TokenAdmission;
 
-const SLACK: u64 = 1_000;
-const LARGEST_SERVICE: u64 = 500;
+const SLACK_MICROS: u64 = 1_000;
+const MAX_SERVICE_MICROS: u64 = 500;
 
-/// A runner whose seed is fixed, so that every run tries the same cases.
+/// A runner with a fixed seed, so that every run tests the same cases.
 fn runner() -> TestRunner {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     TestRunner::new_with_rng(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() }, rng)
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn a_queue_gives_back_all_that_was_pushed() {
+fn queue_returns_all_pushed_calls() {
     let pushes = prop::collection::vec((0..3usize, 0..3usize, 0..1_000u64), 0..60);
     let test = |pushes: Vec<(usize, usize, u64)>| {
         let mut keys: SlotMap<CallKey, ()> = SlotMap::with_key();
-        let mut queue = FairQueue::new(SLACK, SLACK);
+        let mut queue = FairQueue::new(SLACK_MICROS, SLACK_MICROS);
         for (sequence, (partner, team, rank)) in (0u64..).zip(&pushes) {
-            let ticket = QueuedCall { rank: *rank, sequence, call: keys.insert(()) };
-            queue.push(&owner(*partner, *team), ticket);
+            let call = QueuedCall { rank: *rank, sequence, call: keys.insert(()) };
+            queue.push(&owner(*partner, *team), call);
         }
         prop_assert_eq!(queue.len(), pushes.len());
         let mut popped = 0;
@@ -58,10 +58,10 @@
 
 #[test]
 fn backlogged_partners_get_their_shares() {
-    let weights = (1..5u32, 1..5u32, prop::collection::vec(1..LARGEST_SERVICE, 200..400));
+    let weights = (1..5u32, 1..5u32, prop::collection::vec(1..MAX_SERVICE_MICROS, 200..400));
     let test = |(first, second, services): (u32, u32, Vec<u64>)| {
         let mut keys: SlotMap<CallKey, ()> = SlotMap::with_key();
-        let mut queue = FairQueue::new(SLACK, SLACK);
+        let mut queue = FairQueue::new(SLACK_MICROS, SLACK_MICROS);
         let owners = [owner(0, 0), owner(1, 0)];
         queue.set_weights(&owners[0], first, 1);
         queue.set_weights(&owners[1], second, 1);
@@ -77,30 +77,30 @@
             queue.charge(&owner, service);
             served[usize::from(owner == owners[1])] += service;
         }
-        let normal = [served[0] / u64::from(first), served[1] / u64::from(second)];
-        let apart = normal[0].abs_diff(normal[1]);
-        prop_assert!(apart <= SLACK + LARGEST_SERVICE, "{normal:?}");
+        let normalized = [served[0] / u64::from(first), served[1] / u64::from(second)];
+        let difference = normalized[0].abs_diff(normalized[1]);
+        prop_assert!(difference <= SLACK_MICROS + MAX_SERVICE_MICROS, "{normalized:?}");
         Ok(())
     };
     runner().run(&weights, test).expect("holds for all cases");
 }
 
 #[test]
-fn a_partner_alone_gets_everything() {
+fn single_partner_is_not_limited() {
     let mut keys: SlotMap<CallKey, ()> = SlotMap::with_key();
-    let mut queue = FairQueue::new(SLACK, SLACK);
+    let mut queue = FairQueue::new(SLACK_MICROS, SLACK_MICROS);
     for sequence in 0..100 {
         queue.push(&owner(0, 0), QueuedCall { rank: 0, sequence, call: keys.insert(()) });
     }
     for _ in 0..100 {
-        let (owner, _) = queue.pop().expect("no other partner is waited for");
+        let (owner, _) = queue.pop().expect("a single partner is never skipped");
         queue.charge(&owner, 1_000_000);
     }
     assert!(queue.is_empty());
 }
 
 #[test]
-fn retries_never_exceed_their_share_of_successes() {
+fn retries_stay_within_share_of_successes() {
     let events = prop::collection::vec(prop_oneof![Just(true), Just(false)], 0..2_000);
     let test = |events: Vec<bool>| {
         let partner: Arc<str> = "partner".into();
@@ -122,34 +122,34 @@
 }
 
 #[test]
-fn a_door_books_what_it_let_in_and_no_more() {
+fn reservations_match_admitted_programs() {
     let programs = prop::collection::vec((0..2usize, 1..400u64), 1..200);
     let test = |programs: Vec<(usize, u64)>| {
         let partners: [Arc<str>; 2] = ["first".into(), "second".into()];
-        let mut door = TokenAdmission::default();
-        door.set_capacity(1_000, 100);
-        door.set_share(&partners[0], 1);
-        door.set_share(&partners[1], 1);
-        let mut inside = Vec::new();
+        let mut admission = TokenAdmission::default();
+        admission.set_capacity(1_000, 100);
+        admission.set_share(&partners[0], 1);
+        admission.set_share(&partners[1], 1);
+        let mut active = Vec::new();
         for (partner, tokens) in programs {
-            if door.admits(&partners[partner], tokens, 100) {
-                door.update_reservation(&partners[partner], 0, tokens);
-                inside.push((partner, tokens));
-            } else if let Some((partner, tokens)) = inside.pop() {
-                door.update_reservation(&partners[partner], tokens, 0);
+            if admission.admits(&partners[partner], tokens, 100) {
+                admission.update_reservation(&partners[partner], 0, tokens);
+                active.push((partner, tokens));
+            } else if let Some((partner, tokens)) = active.pop() {
+                admission.update_reservation(&partners[partner], tokens, 0);
             }
-            let held: u64 = inside.iter().map(|(_, tokens)| tokens).sum();
-            prop_assert_eq!(door.reserved(), held);
-            let own = |wanted: usize| -> u64 {
-                inside.iter().filter(|(partner, _)| *partner == wanted).map(|(_, tokens)| tokens).sum()
+            let reserved: u64 = active.iter().map(|(_, tokens)| tokens).sum();
+            prop_assert_eq!(admission.reserved(), reserved);
+            let reserved_by = |wanted: usize| -> u64 {
+                active.iter().filter(|(partner, _)| *partner == wanted).map(|(_, tokens)| tokens).sum()
             };
-            prop_assert!(held <= 1_000 + 500, "{held}");
-            prop_assert!(own(0) <= 1_000 && own(1) <= 1_000);
+            prop_assert!(reserved <= 1_000 + 500, "{reserved}");
+            prop_assert!(reserved_by(0) <= 1_000 && reserved_by(1) <= 1_000);
         }
-        for (partner, tokens) in inside {
-            door.update_reservation(&partners[partner], tokens, 0);
+        for (partner, tokens) in active {
+            admission.update_reservation(&partners[partner], tokens, 0);
         }
-        prop_assert_eq!(door.reserved(), 0);
+        prop_assert_eq!(admission.reserved(), 0);
         Ok(())
     };
     runner().run(&programs, test).expect("holds for all cases");
--- a/agatetrestle/src/admission/tokens.rs
+++ b/agatetrestle/src/admission/tokens.rs
@@ -1,8 +1,8 @@
-//! How many programs are under way on a pool: new ones wait at the door while the prefixes of those
-//! that were started fill the memory of the engines and what they export to.
+//! Limits the programs on a pool by the cache tokens that they hold: new programs wait while the prefixes
+//! of started ones fill the cache of the engines.
 //!
-//! Without it, an overloaded pool starts everything, computes evicted prefixes again and again, and
-//! finishes little; see docs/design/007-partner-isolation.md.
+//! Without a limit, an overloaded pool keeps recomputing evicted prefixes and completes few programs; see
+//! docs/design/007-partner-isolation.md.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,79 +15,78 @@
 #[derive(Debug, Default)]
 struct Partner {
     share: u64,
-    booked: u64,
+    reserved: u64,
     waiting: BTreeSet<QueuedCall>,
 }
 
-/// The door of one pool.
+/// Reserved tokens and waiting programs of one pool.
 #[derive(Debug, Default)]
 pub struct TokenAdmission {
     capacity: u64,
-    lent: u64,
-    booked: u64,
+    shared_percent: u64,
+    reserved: u64,
     partners: BTreeMap<Arc<str>, Partner>,
 }
 
 impl TokenAdmission {
-    /// Sets how many tokens programs may hold together, and up to which percentage of that a partner
-    /// may go beyond its share.
-    pub fn set_capacity(&mut self, capacity: u64, lent: u64) {
+    /// Sets the tokens that all programs may hold, and the percentage of them up to which partners may
+    /// exceed their shares.
+    pub fn set_capacity(&mut self, capacity: u64, shared_percent: u64) {
         self.capacity = capacity;
-        self.lent = lent;
+        self.shared_percent = shared_percent;
     }
 
-    /// Sets the share of a partner.
+    /// Sets the weight of a partner in the division of the capacity.
     pub fn set_share(&mut self, partner: &Arc<str>, share: u32) {
         self.partners.entry(partner.clone()).or_default().share = u64::from(share.max(1));
     }
 
-    /// Whether a program that is expected to hold so many tokens may start: if there is room, or if
-    /// its partner holds less than its share. `percent` of the capacity is open to its class, so that
-    /// the rest is left for more urgent ones.
+    /// Whether a program expected to hold `tokens` may start, within the shared capacity or its partner's
+    /// share. Its class may use `percent` of the capacity; the rest is reserved for more urgent classes.
     #[must_use]
     pub fn admits(&self, partner: &Arc<str>, tokens: u64, percent: u64) -> bool {
         let capacity = self.capacity * percent / PERCENT;
-        if self.booked + tokens <= capacity * self.lent / PERCENT {
+        if self.reserved + tokens <= capacity * self.shared_percent / PERCENT {
             return true;
         }
         let shares: u64 = self.partners.values().map(|partner| partner.share).sum();
         let Some(partner) = self.partners.get(partner) else {
             return false;
         };
-        let own = capacity.saturating_mul(partner.share) / shares.max(1);
-        partner.booked + tokens <= own || partner.booked == 0
+        let partner_limit = capacity.saturating_mul(partner.share) / shares.max(1);
+        partner.reserved + tokens <= partner_limit || partner.reserved == 0
     }
 
-    /// Changes what a program of this partner holds.
-    pub fn update_reservation(&mut self, partner: &Arc<str>, before: u64, now: u64) {
-        self.booked = (self.booked + now).saturating_sub(before);
+    /// Changes the reservation of one of the partner's programs.
+    pub fn update_reservation(&mut self, partner: &Arc<str>, before: u64, after: u64) {
+        self.reserved = (self.reserved + after).saturating_sub(before);
         let partner = self.partners.entry(partner.clone()).or_default();
-        partner.booked = (partner.booked + now).saturating_sub(before);
+        partner.reserved = (partner.reserved + after).saturating_sub(before);
     }
 
-    /// Tokens booked for all.
+    /// Tokens reserved by all programs.
     #[must_use]
     pub fn reserved(&self) -> u64 {
-        self.booked
+        self.reserved
     }
 
-    /// Adds a program that waits.
-    pub fn enqueue(&mut self, partner: &Arc<str>, ticket: QueuedCall) {
-        self.partners.entry(partner.clone()).or_default().waiting.insert(ticket);
+    /// Adds a waiting program by its first call.
+    pub fn enqueue(&mut self, partner: &Arc<str>, call: QueuedCall) {
+        self.partners.entry(partner.clone()).or_default().waiting.insert(call);
     }
 
-    /// Takes out a program that no longer waits.
-    pub fn dequeue(&mut self, partner: &Arc<str>, ticket: QueuedCall) {
+    /// Removes a program that no longer waits.
+    pub fn dequeue(&mut self, partner: &Arc<str>, call: QueuedCall) {
         if let Some(partner) = self.partners.get_mut(partner) {
-            partner.waiting.remove(&ticket);
+            partner.waiting.remove(&call);
         }
     }
 
-    /// The next to start of the partner that holds least for its share.
+    /// The first waiting program of the partner with the least reserved tokens per share.
     #[must_use]
     pub fn next(&self) -> Option<(Arc<str>, QueuedCall)> {
         let waiting = self.partners.iter().filter(|(_, partner)| !partner.waiting.is_empty());
-        let (name, partner) = waiting.min_by_key(|(_, partner)| partner.booked / partner.share.max(1))?;
-        partner.waiting.first().map(|ticket| (name.clone(), *ticket))
+        let (name, partner) = waiting.min_by_key(|(_, partner)| partner.reserved / partner.share.max(1))?;
+        partner.waiting.first().map(|call| (name.clone(), *call))
     }
 }
