--- a/agatetrestle/src/turns/admission.rs
+++ b/agatetrestle/src/turns/admission.rs
@@ -1,6 +1,6 @@
-//! What the leader of a state group weighs before a turn begins: its team's account and how many programs are under way.
+//! Admission of turns by the leader of a state group: rate limits of teams and limits of active programs.
 //!
-//! Nothing of this is in the log. A new leader begins with empty accounts ([`crate::allowance`]) and an open [`ProgramLimiter`].
+//! This state is not replicated: a new leader starts with empty buckets ([`crate::allowance`]) and no active programs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,30 +23,30 @@
 use crate::turns::limiter::TurnStart;
 use crate::turns::state::TurnState;
 
-/// The accounts and the door of one group.
+/// Admission checks of one state group.
 #[derive(Debug)]
 pub struct TurnAdmission {
-    accounts: RateLimiter,
-    door: ProgramLimiter,
+    rate_limiter: RateLimiter,
+    program_limiter: ProgramLimiter,
 }
 
 impl TurnAdmission {
-    /// Before anything is known.
+    /// Starts without teams and active programs.
     #[must_use]
     pub fn new(bounds: AllowanceBounds) -> Self {
-        Self { accounts: RateLimiter::new(bounds), door: ProgramLimiter::default() }
+        Self { rate_limiter: RateLimiter::new(bounds), program_limiter: ProgramLimiter::default() }
     }
 
-    /// Takes in the declared teams.
+    /// Replaces the configured teams.
     pub fn set_teams(&mut self, now: Timestamp, teams: &[Arc<Team>]) {
-        self.accounts.set_teams(now, teams);
+        self.rate_limiter.set_teams(now, teams);
     }
 
-    /// Weighs a command before it enters the log of the leader of a term.
+    /// Checks a command before the leader of `term` appends it to the log.
     ///
     /// # Errors
     ///
-    /// The reply where it must not enter the log.
+    /// The reply to a command that must not be appended.
     pub fn check(
         &mut self,
         now: Timestamp,
@@ -57,73 +57,77 @@
         let TurnCommand::Begin(begin) = command else {
             return Ok(());
         };
-        // Handed over again: it was weighed when it came first.
-        let Some(opening) = begin.opening.as_ref().filter(|_| !is_open(state, begin)) else {
+        // A turn that is already open was checked when it first arrived.
+        let Some(params) = begin.opening.as_ref().filter(|_| !is_open(state, begin)) else {
             return Ok(());
         };
-        let begins = !state.has_begun(&begin.team, &begin.program) && begin.previous.is_none();
-        let coming = ProgramStart {
-            service: &opening.service,
-            kind: &opening.route,
-            places: opening.places,
+        let starts_program = !state.has_begun(&begin.team, &begin.program) && begin.previous.is_none();
+        let start = ProgramStart {
+            service: &params.service,
+            route: &params.route,
+            slots: params.places,
             program: &begin.program,
             turn: &begin.turn,
-            finish_in: opening.finish_in.map(Duration::from_millis),
+            finish_in: params.finish_in.map(Duration::from_millis),
         };
-        if begins && let Err(millis) = self.door.admit(now, coming) {
-            let (open, programs) = self.door.counts();
+        if starts_program && let Err(millis) = self.program_limiter.admit(now, start) {
+            let (open, programs) = self.program_limiter.counts();
             info!(
-                "turn={} program={} is turned away: open_turns={open} programs={programs} places={} retry_ms={millis}",
-                begin.turn, begin.program, opening.places
+                "turn={} program={} is over the program limit: open_turns={open} programs={programs} places={} \
+                 retry_ms={millis}",
+                begin.turn, begin.program, params.places
             );
             return Err(TurnReply::Crowded(millis));
         }
-        if opening.charge {
-            let need = if begins { RequestKind::Beginning } else { RequestKind::Request };
+        if params.charge {
+            let kind = if starts_program { RequestKind::Beginning } else { RequestKind::Request };
             self.charge(
                 now,
                 term,
-                OutgoingRequest { team: &begin.team, program: Some(&begin.program), need },
+                OutgoingRequest { team: &begin.team, program: Some(&begin.program), need: kind },
             )?;
         }
         Ok(())
     }
 
-    /// Takes in a command that was applied.
+    /// Updates the active programs after a command was applied.
     pub fn record_applied(&mut self, now: Timestamp, command: &TurnCommand, state: &TurnState) {
         match command {
             TurnCommand::Begin(begin) if is_open(state, begin) => {
-                if let Some(opening) = &begin.opening {
-                    let beginning = TurnStart {
-                        service: &opening.service,
-                        kind: &opening.route,
+                if let Some(params) = &begin.opening {
+                    let start = TurnStart {
+                        service: &params.service,
+                        route: &params.route,
                         program: &begin.program,
                         turn: &begin.turn,
-                        patience: Duration::from_millis(opening.patience),
+                        timeout: Duration::from_millis(params.patience),
                     };
-                    self.door.begin(now, beginning);
+                    self.program_limiter.begin(now, start);
                 }
             }
             TurnCommand::Finish(finish) => {
-                self.door.finish(now, &finish.turn, finish.ran.map(Duration::from_millis));
+                self.program_limiter.finish(now, &finish.turn, finish.ran.map(Duration::from_millis));
             }
             _ => {}
         }
     }
 
-    /// Takes one request from a team's account, for the leader of a term.
+    /// Charges one request to a team's rate limit, as the leader of `term`.
     pub fn take(&mut self, now: Timestamp, term: u64, take: &Take) -> TurnReply {
-        let need = if take.begins { RequestKind::Beginning } else { RequestKind::Request };
-        let asked = OutgoingRequest { team: &take.team, program: take.program.as_ref(), need };
-        self.charge(now, term, asked).err().unwrap_or(TurnReply::Taken)
+        let kind = if take.begins { RequestKind::Beginning } else { RequestKind::Request };
+        let request = OutgoingRequest { team: &take.team, program: take.program.as_ref(), need: kind };
+        self.charge(now, term, request).err().unwrap_or(TurnReply::Taken)
     }
 
-    fn charge(&mut self, now: Timestamp, term: u64, asked: OutgoingRequest<'_>) -> Result<(), TurnReply> {
-        self.accounts.take(now, term, asked).map_err(|denial| match denial {
-            Denial::OverLimit(after) => {
-                let OutgoingRequest { team, need, .. } = asked;
-                info!("team={team} need={need:?} is over its allowance: retry_ms={}", after.as_millis());
-                TurnReply::Over(millis(after))
+    fn charge(&mut self, now: Timestamp, term: u64, request: OutgoingRequest<'_>) -> Result<(), TurnReply> {
+        self.rate_limiter.take(now, term, request).map_err(|denial| match denial {
+            Denial::OverLimit(retry_after) => {
+                let OutgoingRequest { team, need: kind, .. } = request;
+                info!(
+                    "team={team} need={kind:?} is over its rate limit: retry_ms={}",
+                    retry_after.as_millis()
+                );
+                TurnReply::Over(millis(retry_after))
             }
             Denial::UnknownTeam => TurnReply::UnknownTeam,
         })
@@ -134,6 +138,6 @@
     state.is_open(&begin.team, &begin.program, &begin.turn)
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/agatetrestle/src/turns/clock.rs
+++ b/agatetrestle/src/turns/clock.rs
@@ -1,27 +1,27 @@
-//! The time that a state group counts: what its leaders measured between commands.
+//! The time of a state group, as its leaders measure it between commands.
 
 use std::time::Duration;
 
 use crate::clock::Timestamp;
 
-/// How far the present leader has told its time.
+/// The time up to which the current leader has reported elapsed milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeaderClock {
     term: u64,
-    told: Timestamp,
+    reported: Timestamp,
 }
 
 impl LeaderClock {
-    /// Whole milliseconds since the last command of this term; the rest counts with the next one. The first command
-    /// of a term tells none, so that time without a leader never makes a turn old.
+    /// Whole milliseconds since the previous command of this term; the remainder carries over. The first command of a term
+    /// reports none, so that time without a leader does not expire turns.
     pub fn advance(&mut self, term: u64, now: Timestamp) -> Duration {
         if term != self.term {
-            *self = Self { term, told: now };
+            *self = Self { term, reported: now };
             return Duration::ZERO;
         }
-        let millis = now.since(self.told).as_millis();
+        let millis = now.since(self.reported).as_millis();
         let elapsed = Duration::from_millis(u64::try_from(millis).unwrap_or(u64::MAX));
-        self.told = self.told + elapsed;
+        self.reported = self.reported + elapsed;
         elapsed
     }
 }
--- a/agatetrestle/src/turns/command.rs
+++ b/agatetrestle/src/turns/command.rs
@@ -10,83 +10,83 @@
 use crate::codec::decode;
 use crate::codec::encode;
 
-/// Name of a turn: the attempt of a caller that it was the answer to.
+/// Identifier of a turn: the caller's attempt that it answers.
 pub type TurnId = Arc<str>;
 
-/// A change to the turns of one program.
+/// A command to the state group that holds a program's turns.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TurnCommand {
-    /// Reserve the tokens of a turn and tell what it goes on from. Handing it over again changes nothing.
+    /// Reserves the tokens of a turn and returns the turns it continues. Idempotent.
     Begin(Begin),
-    /// Settle a turn that ended, whole or not. Handing it over again changes nothing.
+    /// Settles a turn that ended, completed or not. Idempotent.
     Finish(Finish),
-    /// Tell a turn and everything that it goes on from, for a program of another group. It changes nothing; as a command it
-    /// is answered only by a group that knows all that was acknowledged.
+    /// Reads a turn and its ancestors for a program of another group. It goes through the log so that the reply reflects
+    /// every acknowledged write.
     Chain(TurnId),
-    /// Take one request from the account of a team. The leader answers it alone; it never enters the log.
+    /// Takes one request from a team's rate limit. The leader answers it without appending it to the log.
     Take(Take),
 }
 
-/// What [`TurnCommand::Take`] says.
+/// Payload of [`TurnCommand::Take`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Take {
-    /// The team.
+    /// The team whose rate limit is charged.
     pub team: Arc<str>,
-    /// The program that the request is a part of, if any.
+    /// The program that the request belongs to, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub program: Option<Arc<str>>,
-    /// Whether a program begins with the request.
+    /// Whether the request is the first of its program.
     pub begins: bool,
 }
 
-/// What the leader weighs before a turn begins, beside the state.
+/// Inputs for the leader's admission check of a turn that are not in the replicated state.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AdmissionParams {
-    /// The service that the turn goes to.
+    /// The service that the turn is sent to.
     pub service: Arc<str>,
-    /// The route that it comes on.
+    /// The route that the request arrived on.
     pub route: Arc<str>,
-    /// Requests that the service's servers run at once, as this group's part of them.
+    /// This group's part of the requests that the service's servers run concurrently.
     pub places: u32,
-    /// Whether the request is yet to be taken from its team's account.
+    /// Whether the request still has to be charged to its team's rate limit.
     pub charge: bool,
-    /// Milliseconds for which the caller waits.
+    /// Milliseconds that the caller waits for the answer.
     pub patience: u64,
-    /// Milliseconds left until the program should be finished; none where it does not say.
+    /// Milliseconds until the program's deadline; `None` without a deadline.
     pub finish_in: Option<u64>,
-    /// Whether its entry takes it for the first of its program; the leader of the program's group knows better.
+    /// Whether the entry considers it the first turn of its program. The leader decides by its own state.
     pub begins: bool,
 }
 
-/// Bytes in front of a coded command: milliseconds that passed on the leader since the command before, then the
-/// length of the coded part that the text follows.
-const HEAD_BYTES: usize = 4 + 4;
+/// Header of an encoded command: milliseconds since the leader's previous command, then the length of the encoded part that
+/// precedes the text.
+const COMMAND_HEADER_BYTES: usize = 4 + 4;
 
-/// A command with the time that it brings.
+/// A command with the time that elapsed before it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TimedCommand {
-    /// Time that passed on the leader since its command before.
+    /// Time on the leader since its previous command.
     pub elapsed: Duration,
-    /// The command.
+    /// The command to execute after the time has advanced.
     pub command: TurnCommand,
 }
 
 impl TurnCommand {
-    /// Codes a command. The text stands at the very end, so that the state can go on using the bytes that the log
-    /// holds anyway instead of a copy; see docs/incidents/003-stores-over-their-memory.md.
+    /// Encodes a command. The text comes last, so that the state can refer to the log's bytes instead of copying them; see
+    /// docs/incidents/003-stores-over-their-memory.md.
     #[must_use]
     pub fn encode(&self, elapsed: Duration) -> Vec<u8> {
-        let coded = encode(self);
+        let encoded = encode(self);
         let text = self.text();
-        let mut buf = Vec::with_capacity(HEAD_BYTES + coded.len() + text.len());
+        let mut buf = Vec::with_capacity(COMMAND_HEADER_BYTES + encoded.len() + text.len());
         buf.extend_from_slice(&millis(elapsed).to_le_bytes());
-        buf.extend_from_slice(&u32::try_from(coded.len()).unwrap_or(u32::MAX).to_le_bytes());
-        buf.extend_from_slice(&coded);
+        buf.extend_from_slice(&u32::try_from(encoded.len()).unwrap_or(u32::MAX).to_le_bytes());
+        buf.extend_from_slice(&encoded);
         buf.extend_from_slice(text);
         buf
     }
 
-    /// The program that it is about; none for a question about a turn of any.
+    /// The program of a turn that begins or ends; empty for other commands.
     #[must_use]
     pub fn program(&self) -> &str {
         match self {
@@ -105,137 +105,136 @@
 }
 
 impl TimedCommand {
-    /// Writes the time into a coded command; bytes that are no command stay as they are.
-    pub fn set_elapsed(coded: &mut [u8], elapsed: Duration) {
-        if let Some(head) = coded.first_chunk_mut() {
-            *head = millis(elapsed).to_le_bytes();
+    /// Writes the elapsed time into an encoded command. Bytes too short to be a command are left unchanged.
+    pub fn set_elapsed(encoded: &mut [u8], elapsed: Duration) {
+        if let Some(field) = encoded.first_chunk_mut() {
+            *field = millis(elapsed).to_le_bytes();
         }
     }
 
-    /// Reads what [`TurnCommand::encode`] wrote; none where it is something else.
+    /// Decodes the output of [`TurnCommand::encode`]; `None` if the bytes are malformed.
     #[must_use]
     pub fn decode(payload: &Arc<[u8]>) -> Option<Self> {
         let (elapsed, rest) = payload.split_first_chunk()?;
         let (length, rest) = rest.split_first_chunk()?;
         let length = usize::try_from(u32::from_le_bytes(*length)).ok()?;
-        let (coded, _) = rest.split_at_checked(length)?;
-        let mut command = decode(coded).ok()?;
+        let (encoded, _) = rest.split_at_checked(length)?;
+        let mut command = decode(encoded).ok()?;
         if let TurnCommand::Finish(Finish { kept: Some(kept), .. }) = &mut command {
-            kept.text = Blob::tail(payload, HEAD_BYTES + length);
+            kept.text = Blob::tail(payload, COMMAND_HEADER_BYTES + length);
         }
         Some(Self { elapsed: Duration::from_millis(u32::from_le_bytes(*elapsed).into()), command })
     }
 }
 
-/// Whole milliseconds, at most those that the head of a command holds.
-fn millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+/// Whole milliseconds, saturating at what the header of a command can hold.
+fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// What [`TurnCommand::Begin`] says.
+/// Payload of [`TurnCommand::Begin`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Begin {
-    /// The program.
+    /// The program that the turn belongs to.
     pub program: Arc<str>,
-    /// The team whose program it is; empty where none is declared, as in files and messages before there were teams.
+    /// The team that owns the program; empty if none is declared, as in data written without teams.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub team: Arc<str>,
     /// The turn that begins.
     pub turn: TurnId,
-    /// Tokens that all turns of the program may generate; none where the program has no budget.
+    /// Tokens that all turns of the program may generate together; `None` without a budget.
     pub budget: Option<u64>,
-    /// Most tokens that this turn generates.
+    /// Maximum of tokens that this turn generates.
     pub most: u64,
-    /// The turn that it goes on from.
+    /// The turn that it continues.
     pub previous: Option<TurnId>,
-    /// That turn and all before it, oldest first, where another group keeps them: programs may go on from turns of programs
-    /// that are kept elsewhere, and from then on this group keeps them too.
+    /// The previous turn and its ancestors, oldest first, if another group holds them. This group then retains copies.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub carried: Vec<TransferredTurn>,
-    /// What the leader weighs; none from entries that know of no such thing.
+    /// Inputs for the leader's admission check; `None` from entries that do not send them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub opening: Option<AdmissionParams>,
 }
 
-/// A turn on its way from the group that keeps it to another.
+/// A retained turn that is copied to another group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TransferredTurn {
-    /// The turn.
+    /// The turn's identifier.
     pub name: TurnId,
-    /// What the caller sent, and what was generated.
+    /// The caller's input and the generated output.
     pub text: Blob,
-    /// For how many more milliseconds it is kept.
+    /// Milliseconds for which it is still retained.
     pub retention: u64,
-    /// The team whose turn it is.
+    /// The team that owns it; empty if none.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub team: Arc<str>,
 }
 
 impl TransferredTurn {
-    /// Whether a team may go on from it; a turn of no team was sent when nobody needed a key.
+    /// Whether a team may continue it. A turn without a team was sent without authentication and is open to all.
     #[must_use]
     pub fn is_open_to(&self, team: &str) -> bool {
         self.team.is_empty() || &*self.team == team
     }
 }
 
-/// What [`TurnCommand::Finish`] says.
+/// Payload of [`TurnCommand::Finish`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Finish {
-    /// The program.
+    /// The program that the turn belongs to.
     pub program: Arc<str>,
-    /// The team whose program it is.
+    /// The team that owns the program; empty if none.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub team: Arc<str>,
     /// The turn that ended.
     pub turn: TurnId,
-    /// Tokens that were handed to the caller.
+    /// Tokens that were delivered to the caller.
     pub spent: u64,
-    /// Milliseconds that it took at a server; none where no server ran it whole.
+    /// Milliseconds that a server spent on it; `None` if no server completed it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ran: Option<u64>,
-    /// What is kept, for a turn that ended whole on a route that keeps turns.
+    /// The turn to retain, if it completed on a route that retains turns.
     pub kept: Option<RetainedTurn>,
 }
 
-/// A turn that others may go on from.
+/// A completed turn that later turns may continue.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RetainedTurn {
-    /// The turn that it went on from.
+    /// The turn that it continues.
     pub previous: Option<TurnId>,
-    /// What the caller sent, and what was generated. It stands behind the command, see [`TurnCommand::encode`].
+    /// The caller's input and the generated output, encoded after the command; see [`TurnCommand::encode`].
     #[serde(skip)]
     pub text: Blob,
-    /// For how many milliseconds it is kept.
+    /// Milliseconds for which it is retained.
     pub retention: u64,
 }
 
-/// Reply to a command about turns.
+/// Reply to a [`TurnCommand`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TurnReply {
-    /// The turn may run; everything that it goes on from, oldest first.
+    /// The turn may run.
     Begun {
-        /// One text for each earlier turn.
+        /// Texts of the turns that it continues, oldest first.
         chain: Vec<Blob>,
     },
-    /// The budget does not hold the turn, which must not run.
+    /// The program's remaining budget is too small for the turn, which must not run.
     Spent,
-    /// There is no such previous turn.
+    /// The previous turn does not exist or belongs to another team.
     NoSuchTurn,
-    /// A turn and all before it, oldest first; empty if there is no such turn here.
+    /// A turn and its ancestors, oldest first; empty if this group does not hold the turn.
     Chain(Vec<TransferredTurn>),
     /// The turn is settled.
     Settled,
-    /// The state has no room for more turns; nothing was changed.
+    /// Retained turns exceed the memory limit; the turn did not begin.
     Full,
-    /// The request is taken from its team's account.
+    /// The request was charged to its team's rate limit.
     Taken,
-    /// The team has sent as much as it may; nothing was changed. There is room after so many milliseconds.
+    /// The team is over its rate limit and may retry after this many milliseconds.
     Over(u64),
-    /// The leader has not been told of the team; nothing was changed.
+    /// The leader has not received the team's configuration yet.
     UnknownTeam,
-    /// No program may begin now; nothing was changed. It is worth coming back after so many milliseconds.
+    /// Too many programs are active for another to begin. The caller may retry after this many milliseconds.
     Crowded(u64),
-    /// The command could not be read.
+    /// The command could not be decoded or does not belong in the log.
     Refused,
 }
--- a/agatetrestle/src/turns/mod.rs
+++ b/agatetrestle/src/turns/mod.rs
@@ -1,7 +1,7 @@
-//! Turns and budgets of programs, as the replicas of a state group agree on them.
+//! Turns and token budgets of programs, replicated in a state group.
 //!
-//! A turn reserves its most tokens before anything is sent and settles at its end, and a turn that ended whole
-//! is kept with everything it goes on from; see docs/design/012-a-deployment-of-three-roles.md.
+//! A turn reserves its maximum of tokens before its request is sent and is charged for what it used when it ends. Completed
+//! turns are retained together with the turns they continue; see docs/design/012-a-deployment-of-three-roles.md.
 
 pub mod admission;
 pub mod clock;
--- a/agatetrestle/src/turns/state.rs
+++ b/agatetrestle/src/turns/state.rs
@@ -1,4 +1,4 @@
-//! The state that every replica of a state group computes from the same commands.
+//! The replicated state machine of a state group.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,21 +29,20 @@
 use crate::turns::command::TurnId;
 use crate::turns::command::TurnReply;
 
-/// Milliseconds beyond its retention for which a turn stays: the caller counts from when the end of the answer
-/// reached it, and it may be slow to take the last bytes. Clocks need no margin, since only spans that a leader
-/// measured count.
-const MARGIN: u64 = 10_000;
-/// Milliseconds without a turn after which a program's budget is forgotten. A program may come back within a
-/// retention, which operators set to about a minute.
-const ACCOUNT_LIFE: u64 = 300_000;
-/// What a kept turn costs beside its text, in bytes: names, maps and allocations.
-const TURN_OVERHEAD: usize = 400;
+/// Added to a turn's retention, since the caller counts it from when it received the last bytes of the answer. Clock skew
+/// needs no margin: only intervals measured by a leader count.
+const RETENTION_MARGIN_MS: u64 = 10_000;
+/// Time without a turn after which a program's token usage is dropped. It exceeds the usual retention, within which a
+/// program may continue.
+const ACCOUNT_EXPIRY_MS: u64 = 300_000;
+/// Memory of a retained turn besides its text: identifiers, map entries and allocations.
+const TURN_OVERHEAD_BYTES: usize = 400;
 
-/// What one program may still spend.
+/// Token usage of one program.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 struct Account {
     spent: u64,
-    /// Turns that have not ended, with their most tokens.
+    /// Turns that have not ended, with their reserved tokens.
     open: BTreeMap<TurnId, u64>,
     last_used: u64,
 }
@@ -53,67 +52,66 @@
     previous: Option<TurnId>,
     text: Blob,
     until: u64,
-    /// The team whose turn it is; see [`Turn::is_open_to`].
     #[serde(default, skip_serializing_if = "str::is_empty")]
     team: Arc<str>,
 }
 
 impl Turn {
-    /// Whether a team may go on from it. A turn of no team was sent when nobody needed a key, and whoever sent it may have
-    /// come to belong to a team since; to tell the caller that there is no such turn would lose it.
+    /// Whether a team may continue it. A turn without a team was sent without authentication, and its sender may have joined
+    /// a team since.
     fn is_open_to(&self, team: &str) -> bool {
         self.team.is_empty() || &*self.team == team
     }
 }
 
-/// Turns and budgets of all programs.
+/// Retained turns and token usage of all programs of a group.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TurnState {
-    /// Milliseconds that leaders measured between their commands. All replicas count the same, no wall clock that is
-    /// wrong or set makes a turn forgotten too soon, and while no leader is there no time passes.
+    /// Sum of the milliseconds that leaders measured between commands. It is the same on all replicas, independent of wall
+    /// clocks, and does not advance without a leader.
     now: u64,
     accounts: HashMap<Arc<str>, Account>,
     turns: HashMap<TurnId, Turn>,
     turns_by_end: BTreeSet<(u64, TurnId)>,
     accounts_by_use: BTreeSet<(u64, Arc<str>)>,
     kept_bytes: usize,
-    /// Bytes of turns beyond which no turn begins that would have to be kept; 0 for no bound.
+    /// Bytes of retained turns beyond which no turn begins; 0 for no limit.
     room: usize,
 }
 
 impl TurnState {
-    /// A state that holds at most this many bytes of turns. Every replica must be given the same bound, which is
-    /// why it is coded with the state.
+    /// A state that begins no turn once retained turns exceed this many bytes. Every replica needs the same limit, so
+    /// snapshots include it.
     #[must_use]
-    pub fn with_max_bytes(room: usize) -> Self {
-        Self { room, ..Self::default() }
+    pub fn with_max_bytes(max_bytes: usize) -> Self {
+        Self { room: max_bytes, ..Self::default() }
     }
 
-    /// Applies a command; the reply is the same on every replica.
+    /// Applies a command. The reply is the same on every replica.
     pub fn execute(&mut self, timed: TimedCommand) -> TurnReply {
-        self.pass(timed.elapsed);
+        self.advance(timed.elapsed);
         match timed.command {
             TurnCommand::Begin(begin) => self.begin(begin),
             TurnCommand::Finish(finish) => self.finish(finish),
-            TurnCommand::Chain(last) => TurnReply::Chain(self.carry(&last)),
+            TurnCommand::Chain(last) => TurnReply::Chain(self.export(&last)),
             TurnCommand::Take(_) => TurnReply::Refused,
         }
     }
 
-    /// Whether a turn of a team's program has begun and not ended.
+    /// Whether a turn has begun and not ended.
     #[must_use]
     pub fn is_open(&self, team: &str, program: &Arc<str>, turn: &TurnId) -> bool {
-        let account = self.accounts.get(&account_name(team, program));
+        let account = self.accounts.get(&account_key(team, program));
         account.is_some_and(|account| account.open.contains_key(turn))
     }
 
-    /// Whether a team's program has begun a turn here.
+    /// Whether a program has begun a turn in this group.
     #[must_use]
     pub fn has_begun(&self, team: &str, program: &Arc<str>) -> bool {
-        self.accounts.contains_key(&account_name(team, program))
+        self.accounts.contains_key(&account_key(team, program))
     }
 
-    /// What is held, for operators.
+    /// Counts and sizes reported to operators.
     #[must_use]
     pub fn holdings(&self) -> Holdings {
         Holdings {
@@ -125,47 +123,47 @@
     }
 
     fn begin(&mut self, begin: Begin) -> TurnReply {
-        self.take_in(begin.carried);
+        self.import(begin.carried);
         let Some(chain) = self.chain(&begin.team, begin.previous.as_ref()) else {
             return TurnReply::NoSuchTurn;
         };
         if self.room > 0 && self.kept_bytes > self.room {
             return TurnReply::Full;
         }
-        let program = account_name(&begin.team, &begin.program);
-        let account = self.accounts.entry(program.clone()).or_default();
+        let key = account_key(&begin.team, &begin.program);
+        let account = self.accounts.entry(key.clone()).or_default();
         let reserved: u64 = account.open.values().sum();
-        let known = account.open.contains_key(&begin.turn);
-        let wanted = account.spent.saturating_add(reserved).saturating_add(begin.most);
-        let reply = if !known && begin.budget.is_some_and(|budget| wanted > budget) {
+        let is_repeat = account.open.contains_key(&begin.turn);
+        let total = account.spent.saturating_add(reserved).saturating_add(begin.most);
+        let reply = if !is_repeat && begin.budget.is_some_and(|budget| total > budget) {
             TurnReply::Spent
         } else {
             account.open.entry(begin.turn).or_insert(begin.most);
             TurnReply::Begun { chain }
         };
-        self.touch(&program);
+        self.touch(&key);
         reply
     }
 
     fn finish(&mut self, finish: Finish) -> TurnReply {
-        let program = account_name(&finish.team, &finish.program);
-        if let Some(account) = self.accounts.get_mut(&program)
+        let key = account_key(&finish.team, &finish.program);
+        if let Some(account) = self.accounts.get_mut(&key)
             && account.open.remove(&finish.turn).is_some()
         {
             account.spent = account.spent.saturating_add(finish.spent);
         }
-        self.touch(&program);
+        self.touch(&key);
         if let Some(kept) = finish.kept {
-            self.keep(&finish.team, finish.turn, kept);
+            self.retain(&finish.team, finish.turn, kept);
         }
         TurnReply::Settled
     }
 
-    /// Keeps a turn, and everything that it goes on from for as long.
-    fn keep(&mut self, team: &Arc<str>, name: TurnId, kept: RetainedTurn) {
-        let until = self.now.saturating_add(kept.retention).saturating_add(MARGIN);
+    /// Retains a turn and extends the retention of its ancestors to match.
+    fn retain(&mut self, team: &Arc<str>, name: TurnId, kept: RetainedTurn) {
+        let until = self.now.saturating_add(kept.retention).saturating_add(RETENTION_MARGIN_MS);
         if let std::collections::hash_map::Entry::Vacant(vacant) = self.turns.entry(name.clone()) {
-            self.kept_bytes += kept.text.len() + TURN_OVERHEAD;
+            self.kept_bytes += kept.text.len() + TURN_OVERHEAD_BYTES;
             let team = team.clone();
             vacant.insert(Turn { previous: kept.previous, text: kept.text, until: 0, team });
         }
@@ -184,7 +182,7 @@
         }
     }
 
-    /// The texts of a team's turn and of all before it, oldest first; none if the team has no such turn.
+    /// Texts of a turn and its ancestors, oldest first; `None` if one is missing or belongs to another team.
     fn chain(&self, team: &str, last: Option<&TurnId>) -> Option<Vec<Blob>> {
         let mut texts = Vec::new();
         let mut next = last;
@@ -197,9 +195,9 @@
         Some(texts)
     }
 
-    /// A turn and all before it for another group, oldest first.
-    fn carry(&self, last: &TurnId) -> Vec<TransferredTurn> {
-        let mut carried = Vec::new();
+    /// A turn and its ancestors, oldest first, for another group; empty if one is missing.
+    fn export(&self, last: &TurnId) -> Vec<TransferredTurn> {
+        let mut chain = Vec::new();
         let mut next = Some(last);
         while let Some(name) = next {
             let Some(turn) = self.turns.get(name) else {
@@ -207,35 +205,36 @@
             };
             let retention = turn.until.saturating_sub(self.now);
             let (text, team) = (turn.text.clone(), turn.team.clone());
-            carried.push(TransferredTurn { name: name.clone(), text, retention, team });
+            chain.push(TransferredTurn { name: name.clone(), text, retention, team });
             next = turn.previous.as_ref();
         }
-        carried.reverse();
-        carried
+        chain.reverse();
+        chain
     }
 
-    /// Keeps the turns of another group that are not known here, each going on from the one before it.
-    fn take_in(&mut self, carried: Vec<TransferredTurn>) {
+    /// Retains a chain of turns from another group, each continuing the one before it.
+    fn import(&mut self, chain: Vec<TransferredTurn>) {
         let mut previous = None;
-        for TransferredTurn { name, text, retention, team } in carried {
-            // What is left of the retention already holds the margin.
-            let kept = RetainedTurn { previous, text, retention: retention.saturating_sub(MARGIN) };
-            self.keep(&team, name.clone(), kept);
+        for TransferredTurn { name, text, retention, team } in chain {
+            // The remaining retention already includes the margin.
+            let kept =
+                RetainedTurn { previous, text, retention: retention.saturating_sub(RETENTION_MARGIN_MS) };
+            self.retain(&team, name.clone(), kept);
             previous = Some(name);
         }
     }
 
-    fn touch(&mut self, program: &Arc<str>) {
+    fn touch(&mut self, key: &Arc<str>) {
         let now = self.now;
-        if let Some(account) = self.accounts.get_mut(program) {
-            self.accounts_by_use.remove(&(account.last_used, program.clone()));
+        if let Some(account) = self.accounts.get_mut(key) {
+            self.accounts_by_use.remove(&(account.last_used, key.clone()));
             account.last_used = now;
-            self.accounts_by_use.insert((now, program.clone()));
+            self.accounts_by_use.insert((now, key.clone()));
         }
     }
 
-    /// Lets time pass and forgets what is past its time.
-    fn pass(&mut self, elapsed: Duration) {
+    /// Advances the time and drops expired turns and accounts.
+    fn advance(&mut self, elapsed: Duration) {
         let elapsed = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
         self.now = self.now.saturating_add(elapsed);
         while let Some((until, _)) = self.turns_by_end.first()
@@ -243,20 +242,20 @@
             && let Some((_, name)) = self.turns_by_end.pop_first()
         {
             if let Some(turn) = self.turns.remove(&name) {
-                self.kept_bytes -= turn.text.len() + TURN_OVERHEAD;
+                self.kept_bytes -= turn.text.len() + TURN_OVERHEAD_BYTES;
             }
         }
         while let Some((used, _)) = self.accounts_by_use.first()
-            && used.saturating_add(ACCOUNT_LIFE) < self.now
-            && let Some((_, program)) = self.accounts_by_use.pop_first()
+            && used.saturating_add(ACCOUNT_EXPIRY_MS) < self.now
+            && let Some((_, key)) = self.accounts_by_use.pop_first()
         {
-            self.accounts.remove(&program);
+            self.accounts.remove(&key);
         }
     }
 }
 
-/// The name under which the budget of a team's program is held: two teams may give their programs the same name.
-fn account_name(team: &str, program: &Arc<str>) -> Arc<str> {
+/// Key of a program's account; programs of different teams may share a name.
+fn account_key(team: &str, program: &Arc<str>) -> Arc<str> {
     if team.is_empty() { program.clone() } else { format!("{team}\0{program}").into() }
 }
 
@@ -278,8 +277,8 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        // Names stand three times in the maps beside what a turn is counted with.
-        encode_large(self, self.kept_bytes + self.accounts.len() * TURN_OVERHEAD)
+        // A size hint that avoids reallocation while encoding.
+        encode_large(self, self.kept_bytes + self.accounts.len() * TURN_OVERHEAD_BYTES)
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
--- a/agatetrestle/src/turns/tests.rs
+++ b/agatetrestle/src/turns/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of turns and budgets.
+//! Tests of the replicated turn state and its commands.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,20 +23,20 @@
 
 const RETENTION: u64 = 60_000;
 
-/// A state with the milliseconds that it was told so far.
-struct Turns {
+/// A state driven by absolute times in milliseconds.
+struct Driver {
     state: TurnState,
-    told: u64,
+    now: u64,
 }
 
-impl Turns {
+impl Driver {
     fn new(state: TurnState) -> Self {
-        Self { state, told: 0 }
+        Self { state, now: 0 }
     }
 
     fn execute(&mut self, at: u64, command: TurnCommand) -> TurnReply {
-        let elapsed = Duration::from_millis(at - self.told);
-        self.told = at;
+        let elapsed = Duration::from_millis(at - self.now);
+        self.now = at;
         self.state.execute(TimedCommand { elapsed, command })
     }
 }
@@ -76,42 +76,46 @@
 }
 
 #[test]
-fn a_turn_gets_everything_that_it_goes_on_from_in_order() {
-    let mut state = Turns::new(TurnState::default());
+fn returns_chain_oldest_first() {
+    let mut state = Driver::new(TurnState::default());
     state.execute(1, begin("a", 100, 10, None));
     state.execute(2, finish("a", 5, Some(("one", None))));
     assert_eq!(state.execute(3, begin("b", 100, 10, Some("a"))), begun(&["one"]));
     state.execute(4, finish("b", 5, Some(("two", Some("a")))));
     assert_eq!(state.execute(5, begin("c", 100, 10, Some("b"))), begun(&["one", "two"]));
-    assert_eq!(state.execute(6, begin("d", 100, 10, Some("a"))), begun(&["one"]), "turns may fork");
+    assert_eq!(
+        state.execute(6, begin("d", 100, 10, Some("a"))),
+        begun(&["one"]),
+        "a turn may be continued twice"
+    );
     assert_eq!(state.execute(7, begin("e", 100, 10, Some("x"))), TurnReply::NoSuchTurn);
 }
 
 #[test]
 fn parallel_turns_share_one_budget() {
-    let mut state = Turns::new(TurnState::default());
+    let mut state = Driver::new(TurnState::default());
     assert_eq!(state.execute(1, begin("a", 25, 10, None)), begun(&[]));
     assert_eq!(state.execute(1, begin("b", 25, 10, None)), begun(&[]));
     assert_eq!(state.execute(1, begin("c", 25, 10, None)), TurnReply::Spent);
     state.execute(2, finish("a", 3, None));
-    assert_eq!(state.execute(3, begin("c", 25, 10, None)), begun(&[]), "what was not spent is free again");
+    assert_eq!(state.execute(3, begin("c", 25, 10, None)), begun(&[]), "unused tokens are released");
 }
 
 #[test]
-fn a_resend_changes_nothing() {
-    let mut state = Turns::new(TurnState::default());
+fn repeated_commands_are_idempotent() {
+    let mut state = Driver::new(TurnState::default());
     state.execute(1, begin("a", 20, 10, None));
     assert_eq!(state.execute(1, begin("a", 20, 10, None)), begun(&[]));
-    assert_eq!(state.execute(1, begin("b", 20, 10, None)), begun(&[]), "a was reserved once");
+    assert_eq!(state.execute(1, begin("b", 20, 10, None)), begun(&[]), "a is reserved once");
     state.execute(2, finish("a", 10, None));
     state.execute(2, finish("a", 10, None));
     state.execute(2, finish("b", 0, None));
-    assert_eq!(state.execute(3, begin("c", 20, 10, None)), begun(&[]), "a was charged once");
+    assert_eq!(state.execute(3, begin("c", 20, 10, None)), begun(&[]), "a is charged once");
 }
 
 #[test]
-fn a_chain_lives_as_long_as_its_newest_turn() {
-    let mut state = Turns::new(TurnState::default());
+fn chain_expires_with_newest_turn() {
+    let mut state = Driver::new(TurnState::default());
     state.execute(0, begin("a", 100, 10, None));
     state.execute(0, finish("a", 5, Some(("one", None))));
     let later = RETENTION;
@@ -125,31 +129,31 @@
 }
 
 #[test]
-fn a_chain_of_another_group_is_kept_like_an_own_one() {
-    let mut other = Turns::new(TurnState::default());
+fn retains_chain_from_another_group() {
+    let mut other = Driver::new(TurnState::default());
     other.execute(0, finish("a", 5, Some(("one", None))));
     other.execute(9, finish("b", 5, Some(("two", Some("a")))));
     assert_eq!(other.execute(9, TurnCommand::Chain("x".into())), TurnReply::Chain(Vec::new()));
     let TurnReply::Chain(carried) = other.execute(RETENTION, TurnCommand::Chain("b".into())) else {
-        panic!("a chain is told");
+        panic!("expected a chain");
     };
-    let mut state = Turns::new(TurnState::default());
+    let mut state = Driver::new(TurnState::default());
     let TurnCommand::Begin(begin) = begin("c", 100, 10, Some("b")) else {
-        unreachable!("it is a beginning");
+        unreachable!("begin() returns a Begin command");
     };
     assert_eq!(state.execute(7, TurnCommand::Begin(begin.clone())), TurnReply::NoSuchTurn);
-    let carrying = TurnCommand::Begin(Begin { carried, ..begin.clone() });
-    assert_eq!(state.execute(8, carrying.clone()), begun(&["one", "two"]));
-    assert_eq!(state.execute(9, carrying), begun(&["one", "two"]), "handed over again");
-    assert_eq!(state.state.holdings().turns, 2, "each is kept once");
+    let with_chain = TurnCommand::Begin(Begin { carried, ..begin.clone() });
+    assert_eq!(state.execute(8, with_chain.clone()), begun(&["one", "two"]));
+    assert_eq!(state.execute(9, with_chain), begun(&["one", "two"]), "repeated command");
+    assert_eq!(state.state.holdings().turns, 2, "each turn is stored once");
     assert_eq!(state.execute(10, TurnCommand::Begin(begin.clone())), begun(&["one", "two"]));
-    // The other group would have kept it for another 9 ms and the margin, which count from when it was last handed over.
+    // The remaining retention of 9 ms and the margin count from the last transfer at 9 ms.
     let past = 9 + 9 + 10_000;
     assert_eq!(state.execute(past, TurnCommand::Begin(begin.clone())), begun(&["one", "two"]));
     assert_eq!(state.execute(past + 1, TurnCommand::Begin(begin)), TurnReply::NoSuchTurn);
 }
 
-/// The same command for a team.
+/// Sets the team of a command.
 fn by(team: &str, command: TurnCommand) -> TurnCommand {
     match command {
         TurnCommand::Begin(begin) => TurnCommand::Begin(Begin { team: team.into(), ..begin }),
@@ -159,38 +163,38 @@
 }
 
 #[test]
-fn a_chain_belongs_to_its_team_also_after_a_snapshot_and_in_another_group() {
-    let mut state = Turns::new(TurnState::default());
+fn chain_is_restricted_to_its_team() {
+    let mut state = Driver::new(TurnState::default());
     state.execute(1, by("red", finish("a", 5, Some(("one", None)))));
     let mut restored = TurnState::default();
     restored.restore(&state.state.snapshot()).unwrap();
     let TurnReply::Chain(carried) = state.execute(1, TurnCommand::Chain("a".into())) else {
-        panic!("a chain is told");
+        panic!("expected a chain");
     };
     let mut other = TurnState::default();
-    let taking = Begin {
+    let with_chain = Begin {
         carried,
         ..match begin("c", 100, 10, Some("a")) {
             TurnCommand::Begin(begin) => begin,
-            _ => unreachable!("it is a beginning"),
+            _ => unreachable!("begin() returns a Begin command"),
         }
     };
     let elapsed = Duration::ZERO;
-    let taken = other.execute(TimedCommand { elapsed, command: by("blue", TurnCommand::Begin(taking)) });
-    assert_eq!(taken, TurnReply::NoSuchTurn);
-    for mut state in [state, Turns::new(restored), Turns::new(other)] {
+    let denied = other.execute(TimedCommand { elapsed, command: by("blue", TurnCommand::Begin(with_chain)) });
+    assert_eq!(denied, TurnReply::NoSuchTurn);
+    for mut state in [state, Driver::new(restored), Driver::new(other)] {
         for (turn, team) in [("b", "blue"), ("n", "")] {
-            let refused = state.execute(2, by(team, begin(turn, 100, 10, Some("a"))));
-            assert_eq!(refused, TurnReply::NoSuchTurn, "team {team:?}");
+            let denied = state.execute(2, by(team, begin(turn, 100, 10, Some("a"))));
+            assert_eq!(denied, TurnReply::NoSuchTurn, "team {team:?}");
         }
-        let begins = state.execute(2, by("red", begin("o", 100, 10, Some("a"))));
-        assert_eq!(begins, begun(&["one"]));
+        let allowed = state.execute(2, by("red", begin("o", 100, 10, Some("a"))));
+        assert_eq!(allowed, begun(&["one"]));
     }
 }
 
 #[test]
-fn a_turn_from_before_there_were_teams_can_be_gone_on_from_once_there_are() {
-    let mut state = Turns::new(TurnState::default());
+fn any_team_continues_turn_without_team() {
+    let mut state = Driver::new(TurnState::default());
     state.execute(1, finish("a", 5, Some(("one", None))));
     assert_eq!(state.execute(2, by("red", begin("b", 100, 10, Some("a")))), begun(&["one"]));
     state.execute(3, by("red", finish("b", 5, Some(("two", Some("a"))))));
@@ -199,8 +203,8 @@
 }
 
 #[test]
-fn programs_of_two_teams_share_no_budget_though_they_share_a_name() {
-    let mut state = Turns::new(TurnState::default());
+fn teams_have_separate_budgets() {
+    let mut state = Driver::new(TurnState::default());
     assert_eq!(state.execute(1, by("red", begin("a", 10, 10, None))), begun(&[]));
     assert_eq!(state.execute(1, by("red", begin("b", 10, 10, None))), TurnReply::Spent);
     assert_eq!(state.execute(1, by("blue", begin("c", 10, 10, None))), begun(&[]));
@@ -210,9 +214,9 @@
     assert_eq!(state.execute(3, by("blue", begin("e", 10, 10, None))), begun(&[]));
 }
 
-/// A turn as builds before there were teams wrote it.
+/// Encoding of [`Finish`] without the `team` field.
 #[derive(serde::Serialize)]
-struct OldFinish<'a> {
+struct FinishWithoutTeam<'a> {
     program: &'a str,
     turn: &'a str,
     spent: u64,
@@ -220,19 +224,19 @@
 }
 
 #[test]
-fn what_was_written_before_there_were_teams_is_read_as_of_none() {
-    let old = OldFinish { program: "p", turn: "a", spent: 5, kept: None };
-    let TurnCommand::Finish(read) =
-        crate::codec::decode(&crate::codec::encode(&HashMap::from([("Finish", old)]))).unwrap()
+fn decodes_commands_without_team() {
+    let finish_only = FinishWithoutTeam { program: "p", turn: "a", spent: 5, kept: None };
+    let TurnCommand::Finish(decoded) =
+        crate::codec::decode(&crate::codec::encode(&HashMap::from([("Finish", finish_only)]))).unwrap()
     else {
-        panic!("it is a finish");
+        panic!("expected a Finish command");
     };
-    assert_eq!(TurnCommand::Finish(read), finish("a", 5, None));
+    assert_eq!(TurnCommand::Finish(decoded), finish("a", 5, None));
 }
 
 #[test]
-fn a_full_state_begins_no_turn_and_forgets_none() {
-    let mut state = Turns::new(TurnState::with_max_bytes(1_000));
+fn full_state_begins_no_turns() {
+    let mut state = Driver::new(TurnState::with_max_bytes(1_000));
     for turn in ["a", "b", "c"] {
         state.execute(1, begin(turn, 100, 1, None));
         state.execute(1, finish(turn, 1, Some(("text", None))));
@@ -242,20 +246,20 @@
 }
 
 #[test]
-fn a_coded_command_is_read_back_and_shares_its_text() {
+fn decodes_encoded_commands() {
     for command in
         [begin("a", 9, 3, Some("b")), finish("a", 2, None), finish("a", 2, Some(("said", Some("b"))))]
     {
-        let mut coded = command.encode(Duration::ZERO);
-        TimedCommand::set_elapsed(&mut coded, Duration::from_millis(7));
-        let payload: Arc<[u8]> = coded.into();
+        let mut encoded = command.encode(Duration::ZERO);
+        TimedCommand::set_elapsed(&mut encoded, Duration::from_millis(7));
+        let payload: Arc<[u8]> = encoded.into();
         let timed = TimedCommand { elapsed: Duration::from_millis(7), command };
         assert_eq!(TimedCommand::decode(&payload), Some(timed));
         for length in 0..payload.len().min(20) {
             assert_eq!(
                 TimedCommand::decode(&payload[..length].into()),
                 None,
-                "{length} bytes are no command"
+                "decoded {length} bytes of a truncated command"
             );
         }
     }
@@ -263,32 +267,32 @@
 }
 
 #[test]
-fn leaders_tell_every_millisecond_once() {
-    let mut time = LeaderClock::default();
+fn leader_clock_reports_each_millisecond_once() {
+    let mut clock = LeaderClock::default();
     let at = |micros: u64| Timestamp(5_000_000 + micros);
-    let spans = (0..=1_000).map(|number| time.advance(3, at(number * 300)));
-    assert_eq!(spans.sum::<Duration>(), Duration::from_millis(300), "parts of milliseconds add up");
-    assert_eq!(time.advance(4, at(60_000_000)), Duration::ZERO, "time without this leader does not count");
-    assert_eq!(time.advance(4, at(60_002_500)), Duration::from_millis(2));
+    let intervals = (0..=1_000).map(|number| clock.advance(3, at(number * 300)));
+    assert_eq!(intervals.sum::<Duration>(), Duration::from_millis(300), "fractions of milliseconds add up");
+    assert_eq!(clock.advance(4, at(60_000_000)), Duration::ZERO, "time without this leader does not count");
+    assert_eq!(clock.advance(4, at(60_002_500)), Duration::from_millis(2));
 }
 
 fn command() -> impl Strategy<Value = TimedCommand> {
     let turn = "[a-f]";
-    let begins = (turn, 0_u64..40, prop::option::of(turn))
+    let begin_commands = (turn, 0_u64..40, prop::option::of(turn))
         .prop_map(|(turn, most, previous)| begin(&turn, 100, most, previous.as_deref()));
-    let finishes =
+    let finish_commands =
         (turn, 0_u64..40, prop::option::of(prop::option::of(turn))).prop_map(|(turn, spent, kept)| {
-            let previous =
-                kept.as_ref().map(|previous| ("text", previous.as_deref().filter(|p| **p < *turn)));
-            finish(&turn, spent, previous)
+            let kept = kept.as_ref().map(|previous| ("text", previous.as_deref().filter(|p| **p < *turn)));
+            finish(&turn, spent, kept)
         });
     let elapsed = (0_u64..400_000).prop_map(Duration::from_millis);
-    (elapsed, prop_oneof![begins, finishes]).prop_map(|(elapsed, command)| TimedCommand { elapsed, command })
+    (elapsed, prop_oneof![begin_commands, finish_commands])
+        .prop_map(|(elapsed, command)| TimedCommand { elapsed, command })
 }
 
 proptest! {
     #[test]
-    fn a_restored_state_goes_on_like_the_first(commands in prop::collection::vec(command(), 1..60)) {
+    fn restored_state_matches_original(commands in prop::collection::vec(command(), 1..60)) {
         let mut state = TurnState::with_max_bytes(2_000);
         let (before, after) = commands.split_at(commands.len() / 2);
         for command in before {
--- a/agatetrestle/src/turns/tests/burst.rs
+++ b/agatetrestle/src/turns/tests/burst.rs
@@ -1,8 +1,7 @@
-//! A burst of programs before engines, in virtual time: blind entries that run the real decisions, and the real door.
+//! Simulates a burst of programs in virtual time, with the real dispatch of each entry and the real program limiter.
 //!
-//! 57 entries, 48 engines of 6 places with a queue of 18. A program has 1 to 13 turns of 200 ms, pauses of 250 ms, after 15 in
-//! 100 turns five sub-agents of two turns each, and 1.35 times as long as it takes on idle engines. One that may not begin comes
-//! back when it is told to.
+//! Programs have 1 to 13 turns, some followed by sub-agents, and a deadline relative to their duration on idle engines.
+//! Rejected programs retry after the returned delay.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -28,62 +27,59 @@
 
 const ENTRIES: usize = 57;
 const ENGINES: usize = 48;
-const PLACES: u32 = 6;
-const QUEUE: usize = 18;
+const SLOTS_PER_ENGINE: u32 = 6;
+const MAX_QUEUE_PER_ENGINE: usize = 18;
 const SERVICE: &str = "engines";
-/// All times in microseconds.
-const MILLI: u64 = 1_000;
+/// Times of the simulation are in microseconds.
+const MILLISECOND: u64 = 1_000;
 const SECOND: u64 = 1_000_000;
-const WAY: u64 = MILLI;
-const COMMIT: u64 = 8 * MILLI;
-const WORK: u64 = 200 * MILLI;
-const PAUSE: u64 = 250 * MILLI;
-/// Time of a caller for one turn.
-const PATIENCE: u64 = 3 * SECOND;
-/// How often one turn is tried before its program has failed.
-const TRIES: u32 = 6;
-/// Programs a second: what the engines can do, 0.65 of that, and in the burst 1.6 of it.
-const CAPACITY: u32 = 86;
-const USUAL: u64 = 56;
-const BURST: u64 = 138;
-/// Sub-agents that work at the same time after a turn, and the turns of each.
-const CHILDREN: u64 = 5;
-const CHILD_TURNS: u64 = 2;
-const BURST_FROM: u64 = 6;
-const BURST_TO: u64 = 12;
-const LASTS: u64 = 22;
+const NETWORK_DELAY_US: u64 = MILLISECOND;
+const COMMIT_DELAY_US: u64 = 8 * MILLISECOND;
+const SERVICE_TIME_US: u64 = 200 * MILLISECOND;
+const TURN_PAUSE_US: u64 = 250 * MILLISECOND;
+const TURN_TIMEOUT_US: u64 = 3 * SECOND;
+/// Attempts at a turn before its program fails.
+const MAX_TURN_ATTEMPTS: u32 = 6;
+/// Programs per second: the capacity of the engines, the load outside the burst and the load of the burst.
+const ENGINE_CAPACITY_PER_SECOND: u32 = 86;
+const BASE_LOAD_PER_SECOND: u64 = 56;
+const BURST_LOAD_PER_SECOND: u64 = 138;
+/// Sub-agents that run concurrently after some turns, and the turns of each.
+const SUBAGENTS: u64 = 5;
+const TURNS_PER_SUBAGENT: u64 = 2;
+const BURST_START_SECOND: u64 = 6;
+const BURST_END_SECOND: u64 = 12;
+const SIMULATED_SECONDS: u64 = 22;
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
-    /// A turn of a program comes to an entry.
-    Come {
+    Arrive {
         program: usize,
-        tries: u32,
-        child: u64,
+        attempts: u32,
+        subagent_turns: u64,
     },
-    /// The turn is reserved, and its entry looks for an engine.
-    Place {
+    /// The reservation is committed and the entry dispatches the turn.
+    Dispatch {
         ticket: u64,
     },
     Tick {
         entry: usize,
     },
-    Reach {
+    Deliver {
         engine: usize,
         ticket: u64,
     },
-    Done {
+    Complete {
         engine: usize,
         ticket: u64,
     },
-    Answer {
+    Respond {
         engine: usize,
         ticket: u64,
-        told: (u32, u32),
+        load: (u32, u32),
         full: bool,
     },
-    /// The caller gives up.
-    Late {
+    Timeout {
         ticket: u64,
     },
 }
@@ -95,96 +91,99 @@
 }
 
 struct Program {
-    begun_at: u64,
+    started_at: u64,
     deadline: u64,
-    left: u64,
-    /// After which of its turns to come sub-agents work, counted from its end.
-    forks: Vec<u64>,
-    children: u64,
+    remaining_turns: u64,
+    /// Numbers of remaining turns at which sub-agents start.
+    fork_points: Vec<u64>,
+    open_subagents: u64,
     begun: bool,
 }
 
 struct Turn {
     program: usize,
-    tries: u32,
-    /// Turns that its sub-agent still has, this one included; 0 for a turn of the program itself.
-    child: u64,
+    attempts: u32,
+    /// Remaining turns of its sub-agent, including this one; 0 for a turn of the program itself.
+    subagent_turns: u64,
     entry: usize,
-    until: u64,
-    /// When it was sent to a server for the last time.
-    sent: u64,
+    expires: u64,
+    sent_at: u64,
     avoid: Vec<ServerKey>,
 }
 
-/// Programs that began in one second, and those of them that ended in time.
+/// Outcomes of the programs that started in one second.
 #[derive(Clone, Copy, Debug, Default)]
-struct Second {
+struct SecondStats {
     begun: u32,
-    in_time: u32,
-    refused: u32,
+    on_time: u32,
+    rejected: u32,
 }
 
-struct World {
+struct Simulation {
     rng: Random,
-    door: Option<ProgramLimiter>,
+    limiter: Option<ProgramLimiter>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    count: u64,
+    sequence: u64,
     entries: Vec<Dispatch>,
-    keys: Vec<Vec<ServerKey>>,
-    ticking: HashSet<usize>,
+    server_keys: Vec<Vec<ServerKey>>,
+    scheduled_ticks: HashSet<usize>,
     engines: Vec<Engine>,
     programs: Vec<Program>,
     turns: HashMap<u64, Turn>,
-    seconds: BTreeMap<u64, Second>,
+    stats: BTreeMap<u64, SecondStats>,
 }
 
 fn name(number: u64) -> Arc<str> {
     number.to_string().into()
 }
 
-fn play(door: bool, seed: u64) -> Vec<Second> {
+fn simulate(with_limiter: bool, seed: u64) -> Vec<SecondStats> {
     let instance = |number: usize| Instance {
         id: format!("e-{number}").into(),
         service: SERVICE.into(),
         address: "10.0.0.1:80".parse().unwrap(),
         zone: format!("z-{}", number % 3).into(),
-        slots: PLACES,
+        slots: SLOTS_PER_ENGINE,
         leaving: false,
         born: None,
     };
     let instances: Vec<Instance> = (0..ENGINES).map(instance).collect();
-    let mut world = World {
+    let mut simulation = Simulation {
         rng: Random::new(seed),
-        door: door.then(ProgramLimiter::default),
+        limiter: with_limiter.then(ProgramLimiter::default),
         events: BinaryHeap::new(),
-        count: 0,
+        sequence: 0,
         entries: Vec::new(),
-        keys: Vec::new(),
-        ticking: HashSet::new(),
+        server_keys: Vec::new(),
+        scheduled_ticks: HashSet::new(),
         engines: (0..ENGINES).map(|_| Engine::default()).collect(),
         programs: Vec::new(),
         turns: HashMap::new(),
-        seconds: BTreeMap::new(),
+        stats: BTreeMap::new(),
     };
     for number in 0..ENTRIES {
         let zone = format!("z-{}", number % 3);
         let mut entry = Dispatch::new(zone.into(), seed ^ (number as u64) << 8);
         entry.replace_instances(Timestamp(0), &instances);
         let key = |id: &str| entry.keys().find(|(_, known)| &*known.id == id).map(|(key, _)| key).unwrap();
-        world.keys.push(instances.iter().map(|instance| key(&instance.id)).collect());
-        world.entries.push(entry);
+        simulation.server_keys.push(instances.iter().map(|instance| key(&instance.id)).collect());
+        simulation.entries.push(entry);
     }
-    world.run();
-    world.seconds.into_values().collect()
+    simulation.run();
+    simulation.stats.into_values().collect()
 }
 
-impl World {
+impl Simulation {
     fn run(&mut self) {
-        for second in 0..LASTS {
-            let rate = if (BURST_FROM..BURST_TO).contains(&second) { BURST } else { USUAL };
+        for second in 0..SIMULATED_SECONDS {
+            let rate = if (BURST_START_SECOND..BURST_END_SECOND).contains(&second) {
+                BURST_LOAD_PER_SECOND
+            } else {
+                BASE_LOAD_PER_SECOND
+            };
             for _ in 0..rate {
-                let at = second * SECOND + self.rng.below(SECOND);
-                self.add_program(at);
+                let start = second * SECOND + self.rng.below(SECOND);
+                self.add_program(start);
             }
         }
         while let Some(Reverse((now, _, event))) = self.events.pop() {
@@ -192,87 +191,106 @@
         }
     }
 
-    fn add_program(&mut self, at: u64) {
+    fn add_program(&mut self, start: u64) {
         let turns = 1 + self.rng.below(13);
-        let forks: Vec<u64> = (1..turns).filter(|_| self.rng.below(100) < 15).collect();
-        let all = turns + forks.len() as u64 * CHILD_TURNS;
-        let idle = all * (WORK + 2 * COMMIT + 2 * WAY) + (all - 1) * PAUSE;
-        let deadline = at + idle * 135 / 100 + 200 * MILLI;
+        let fork_points: Vec<u64> = (1..turns).filter(|_| self.rng.below(100) < 15).collect();
+        let total = turns + fork_points.len() as u64 * TURNS_PER_SUBAGENT;
+        let unloaded = total * (SERVICE_TIME_US + 2 * COMMIT_DELAY_US + 2 * NETWORK_DELAY_US)
+            + (total - 1) * TURN_PAUSE_US;
+        let deadline = start + unloaded * 135 / 100 + 200 * MILLISECOND;
         let program = self.programs.len();
-        self.programs.push(Program { begun_at: at, deadline, left: turns, forks, children: 0, begun: false });
-        self.seconds.entry(at / SECOND).or_default().begun += 1;
-        self.at(at, Event::Come { program, tries: 0, child: 0 });
+        self.programs.push(Program {
+            started_at: start,
+            deadline,
+            remaining_turns: turns,
+            fork_points,
+            open_subagents: 0,
+            begun: false,
+        });
+        self.stats.entry(start / SECOND).or_default().begun += 1;
+        self.schedule(start, Event::Arrive { program, attempts: 0, subagent_turns: 0 });
     }
 
-    fn at(&mut self, time: u64, event: Event) {
-        self.count += 1;
-        self.events.push(Reverse((time, self.count, event)));
+    fn schedule(&mut self, time: u64, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((time, self.sequence, event)));
     }
 
     fn step(&mut self, now: u64, event: Event) {
         match event {
-            Event::Come { program, tries, child } => self.come(now, program, tries, child),
-            Event::Place { ticket } => self.place(now, ticket),
+            Event::Arrive { program, attempts, subagent_turns } => {
+                self.arrive(now, program, attempts, subagent_turns);
+            }
+            Event::Dispatch { ticket } => self.dispatch(now, ticket),
             Event::Tick { entry } => {
-                self.ticking.remove(&entry);
+                self.scheduled_ticks.remove(&entry);
                 let decisions = self.entries[entry].tick(Timestamp(now));
-                self.carry_out(now, entry, decisions);
+                self.apply(now, entry, decisions);
             }
-            Event::Reach { engine, ticket } => self.reach(now, engine, ticket),
-            Event::Done { engine, ticket } => self.done(now, engine, ticket),
-            Event::Answer { engine, ticket, told, full } => self.answer(now, engine, ticket, told, full),
-            Event::Late { ticket } => self.late(now, ticket),
+            Event::Deliver { engine, ticket } => self.deliver(now, engine, ticket),
+            Event::Complete { engine, ticket } => self.complete(now, engine, ticket),
+            Event::Respond { engine, ticket, load, full } => self.respond(now, engine, ticket, load, full),
+            Event::Timeout { ticket } => self.timeout(now, ticket),
         }
     }
 
-    fn come(&mut self, now: u64, program: usize, tries: u32, child: u64) {
-        self.count += 1;
-        let ticket = self.count;
+    fn arrive(&mut self, now: u64, program: usize, attempts: u32, subagent_turns: u64) {
+        self.sequence += 1;
+        let ticket = self.sequence;
         let begun = self.programs[program].begun;
         let service: Arc<str> = SERVICE.into();
-        if let Some(door) = &mut self.door {
-            let places = u32::try_from(ENGINES).unwrap() * PLACES;
-            let owner = name(program as u64);
+        if let Some(limiter) = &mut self.limiter {
+            let slots = u32::try_from(ENGINES).unwrap() * SLOTS_PER_ENGINE;
+            let program_name = name(program as u64);
             let finish_in = self.programs[program].deadline.saturating_sub(now);
-            let coming = ProgramStart {
+            let start = ProgramStart {
                 service: &service,
-                kind: &service,
-                places,
-                program: &owner,
+                route: &service,
+                slots,
+                program: &program_name,
                 turn: &name(ticket),
                 finish_in: Some(Duration::from_micros(finish_in)),
             };
-            if !begun && let Err(millis) = door.admit(Timestamp(now), coming) {
-                self.again(now, program, tries, child, millis * MILLI);
+            if !begun && let Err(millis) = limiter.admit(Timestamp(now), start) {
+                self.retry(now, program, attempts, subagent_turns, millis * MILLISECOND);
                 return;
             }
             let turn = &name(ticket);
-            let patience = Duration::from_micros(PATIENCE);
-            let beginning = TurnStart { service: &service, kind: &service, program: &owner, turn, patience };
-            door.begin(Timestamp(now), beginning);
+            let timeout = Duration::from_micros(TURN_TIMEOUT_US);
+            let start =
+                TurnStart { service: &service, route: &service, program: &program_name, turn, timeout };
+            limiter.begin(Timestamp(now), start);
         }
         self.programs[program].begun = true;
         let entry = self.rng.index(ENTRIES);
         self.turns.insert(
             ticket,
-            Turn { program, tries, child, entry, until: now + PATIENCE, sent: now, avoid: Vec::new() },
+            Turn {
+                program,
+                attempts,
+                subagent_turns,
+                entry,
+                expires: now + TURN_TIMEOUT_US,
+                sent_at: now,
+                avoid: Vec::new(),
+            },
         );
-        self.at(now + COMMIT, Event::Place { ticket });
-        self.at(now + PATIENCE, Event::Late { ticket });
+        self.schedule(now + COMMIT_DELAY_US, Event::Dispatch { ticket });
+        self.schedule(now + TURN_TIMEOUT_US, Event::Timeout { ticket });
     }
 
-    /// A turn came to nothing and is tried once more, unless it has been too often.
-    fn again(&mut self, now: u64, program: usize, tries: u32, child: u64, after: u64) {
+    /// Schedules another attempt at a failed turn, up to the limit.
+    fn retry(&mut self, now: u64, program: usize, attempts: u32, subagent_turns: u64, delay: u64) {
         let state = &self.programs[program];
-        if tries + 1 < TRIES {
-            self.at(now + after, Event::Come { program, tries: tries + 1, child });
+        if attempts + 1 < MAX_TURN_ATTEMPTS {
+            self.schedule(now + delay, Event::Arrive { program, attempts: attempts + 1, subagent_turns });
         } else if !state.begun {
-            let second = state.begun_at / SECOND;
-            self.seconds.entry(second).or_default().refused += 1;
+            let second = state.started_at / SECOND;
+            self.stats.entry(second).or_default().rejected += 1;
         }
     }
 
-    fn place(&mut self, now: u64, ticket: u64) {
+    fn dispatch(&mut self, now: u64, ticket: u64) {
         let Some(turn) = self.turns.get(&ticket) else {
             return;
         };
@@ -283,146 +301,149 @@
             priority: 1,
             begun: program.begun,
             patience: Duration::from_millis(100),
-            deadline: Timestamp(turn.until),
+            deadline: Timestamp(turn.expires),
             finish_by: Timestamp(program.deadline),
             affinity: Some(turn.program as u64),
             avoid: turn.avoid.clone(),
         };
         let decisions = self.entries[entry].submit(Timestamp(now), request);
-        self.carry_out(now, entry, decisions);
+        self.apply(now, entry, decisions);
     }
 
-    fn carry_out(&mut self, now: u64, entry: usize, decisions: Vec<Decision>) {
+    fn apply(&mut self, now: u64, entry: usize, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Send { ticket, server } => {
                     if let Some(turn) = self.turns.get_mut(&ticket) {
-                        turn.sent = now;
+                        turn.sent_at = now;
                     }
-                    let engine = self.keys[entry].iter().position(|key| *key == server).unwrap();
-                    self.at(now + WAY, Event::Reach { engine, ticket });
+                    let engine = self.server_keys[entry].iter().position(|key| *key == server).unwrap();
+                    self.schedule(now + NETWORK_DELAY_US, Event::Deliver { engine, ticket });
                 }
                 Decision::Reject { ticket, retry_after, .. } => {
-                    if let Some(turn) = self.end_turn(now, ticket) {
-                        let after = u64::try_from(retry_after.as_micros()).unwrap();
-                        self.again(now, turn.program, turn.tries, turn.child, after);
+                    if let Some(turn) = self.fail_turn(now, ticket) {
+                        let delay = u64::try_from(retry_after.as_micros()).unwrap();
+                        self.retry(now, turn.program, turn.attempts, turn.subagent_turns, delay);
                     }
                 }
                 Decision::Forget { .. } | Decision::Suspect { .. } => {}
             }
         }
-        if self.entries[entry].waiting() > 0 && self.ticking.insert(entry) {
-            self.at(now + 20 * MILLI, Event::Tick { entry });
+        if self.entries[entry].waiting() > 0 && self.scheduled_ticks.insert(entry) {
+            self.schedule(now + 20 * MILLISECOND, Event::Tick { entry });
         }
     }
 
-    fn end_turn(&mut self, now: u64, ticket: u64) -> Option<Turn> {
-        self.end(now, ticket, false)
+    fn fail_turn(&mut self, now: u64, ticket: u64) -> Option<Turn> {
+        self.end_turn(now, ticket, false)
     }
 
-    fn end(&mut self, now: u64, ticket: u64, whole: bool) -> Option<Turn> {
+    fn end_turn(&mut self, now: u64, ticket: u64, completed: bool) -> Option<Turn> {
         let turn = self.turns.remove(&ticket)?;
-        if let Some(door) = &mut self.door {
-            let ran = whole.then(|| Duration::from_micros(now - turn.sent));
-            door.finish(Timestamp(now + COMMIT), &name(ticket), ran);
+        if let Some(limiter) = &mut self.limiter {
+            let server_time = completed.then(|| Duration::from_micros(now - turn.sent_at));
+            limiter.finish(Timestamp(now + COMMIT_DELAY_US), &name(ticket), server_time);
         }
         Some(turn)
     }
 
-    fn reach(&mut self, now: u64, engine: usize, ticket: u64) {
+    fn deliver(&mut self, now: u64, engine: usize, ticket: u64) {
         let state = &mut self.engines[engine];
-        if state.running < PLACES {
+        if state.running < SLOTS_PER_ENGINE {
             state.running += 1;
-            self.at(now + WORK, Event::Done { engine, ticket });
-        } else if state.queue.len() < QUEUE {
+            self.schedule(now + SERVICE_TIME_US, Event::Complete { engine, ticket });
+        } else if state.queue.len() < MAX_QUEUE_PER_ENGINE {
             state.queue.insert((1, ticket));
         } else {
-            let told = (state.running, u32::try_from(state.queue.len()).unwrap());
-            self.at(now + WAY, Event::Answer { engine, ticket, told, full: true });
+            let load = (state.running, u32::try_from(state.queue.len()).unwrap());
+            self.schedule(now + NETWORK_DELAY_US, Event::Respond { engine, ticket, load, full: true });
         }
     }
 
-    fn done(&mut self, now: u64, engine: usize, ticket: u64) {
+    fn complete(&mut self, now: u64, engine: usize, ticket: u64) {
         let state = &mut self.engines[engine];
         state.running -= 1;
-        let told = (state.running, u32::try_from(state.queue.len()).unwrap());
-        // Of what waits, the callers of some have left, and their places are free at once.
+        let load = (state.running, u32::try_from(state.queue.len()).unwrap());
+        // Queued turns whose callers have timed out are skipped.
         while let Some((_, next)) = state.queue.pop_first() {
             if self.turns.contains_key(&next) {
                 state.running += 1;
-                self.at(now + WORK, Event::Done { engine, ticket: next });
+                self.schedule(now + SERVICE_TIME_US, Event::Complete { engine, ticket: next });
                 break;
             }
         }
-        self.at(now + WAY, Event::Answer { engine, ticket, told, full: false });
+        self.schedule(now + NETWORK_DELAY_US, Event::Respond { engine, ticket, load, full: false });
     }
 
-    fn answer(&mut self, now: u64, engine: usize, ticket: u64, told: (u32, u32), full: bool) {
+    fn respond(&mut self, now: u64, engine: usize, ticket: u64, load: (u32, u32), full: bool) {
         let Some(turn) = self.turns.get_mut(&ticket) else {
             return;
         };
         let entry = turn.entry;
-        let key = self.keys[entry][engine];
+        let key = self.server_keys[entry][engine];
         turn.avoid.push(key);
-        let load = Load { running: told.0, waiting: told.1 };
+        let load = Load { running: load.0, waiting: load.1 };
         self.entries[entry].observe(Timestamp(now), key, load);
-        let outcome =
-            if full { Outcome::Full } else { Outcome::Whole(Duration::from_micros(WORK + 2 * WAY)) };
+        let outcome = if full {
+            Outcome::Full
+        } else {
+            Outcome::Whole(Duration::from_micros(SERVICE_TIME_US + 2 * NETWORK_DELAY_US))
+        };
         let decisions = self.entries[entry].finish(Timestamp(now), key, outcome);
-        self.carry_out(now, entry, decisions);
+        self.apply(now, entry, decisions);
         if full {
-            self.full(now, ticket);
+            self.reject(now, ticket);
         } else {
-            self.whole(now, ticket);
+            self.advance_program(now, ticket);
         }
     }
 
-    fn full(&mut self, now: u64, ticket: u64) {
+    fn reject(&mut self, now: u64, ticket: u64) {
         let Some(turn) = self.turns.get(&ticket) else {
             return;
         };
         if turn.avoid.len() < 4 {
-            self.place(now, ticket);
-        } else if let Some(turn) = self.end_turn(now, ticket) {
-            self.again(now, turn.program, turn.tries, turn.child, 300 * MILLI);
+            self.dispatch(now, ticket);
+        } else if let Some(turn) = self.fail_turn(now, ticket) {
+            self.retry(now, turn.program, turn.attempts, turn.subagent_turns, 300 * MILLISECOND);
         }
     }
 
-    fn whole(&mut self, now: u64, ticket: u64) {
-        let Some(turn) = self.end(now, ticket, true) else {
+    fn advance_program(&mut self, now: u64, ticket: u64) {
+        let Some(turn) = self.end_turn(now, ticket, true) else {
             return;
         };
         let program = &mut self.programs[turn.program];
-        let next = now + COMMIT + PAUSE;
-        let come = |child| Event::Come { program: turn.program, tries: 0, child };
-        if turn.child > 1 {
-            self.at(next, come(turn.child - 1));
+        let next = now + COMMIT_DELAY_US + TURN_PAUSE_US;
+        let arrive = |subagent_turns| Event::Arrive { program: turn.program, attempts: 0, subagent_turns };
+        if turn.subagent_turns > 1 {
+            self.schedule(next, arrive(turn.subagent_turns - 1));
             return;
         }
-        if turn.child == 1 {
-            program.children -= 1;
-            if program.children == 0 {
-                self.at(next, come(0));
+        if turn.subagent_turns == 1 {
+            program.open_subagents -= 1;
+            if program.open_subagents == 0 {
+                self.schedule(next, arrive(0));
             }
             return;
         }
-        program.left -= 1;
-        let (left, ended) = (program.left, now + COMMIT);
-        if program.forks.contains(&left) {
-            program.children = CHILDREN;
-            for _ in 0..CHILDREN {
-                self.at(next, come(CHILD_TURNS));
+        program.remaining_turns -= 1;
+        let (remaining_turns, ended) = (program.remaining_turns, now + COMMIT_DELAY_US);
+        if program.fork_points.contains(&remaining_turns) {
+            program.open_subagents = SUBAGENTS;
+            for _ in 0..SUBAGENTS {
+                self.schedule(next, arrive(TURNS_PER_SUBAGENT));
             }
-        } else if left > 0 {
-            self.at(next, come(0));
+        } else if remaining_turns > 0 {
+            self.schedule(next, arrive(0));
         } else if ended <= program.deadline {
-            let second = program.begun_at / SECOND;
-            self.seconds.entry(second).or_default().in_time += 1;
+            let second = program.started_at / SECOND;
+            self.stats.entry(second).or_default().on_time += 1;
         }
     }
 
-    fn late(&mut self, now: u64, ticket: u64) {
-        if let Some(turn) = self.end_turn(now, ticket) {
+    fn timeout(&mut self, now: u64, ticket: u64) {
+        if let Some(turn) = self.fail_turn(now, ticket) {
             let entry = turn.entry;
             let before = self.entries[entry].waiting();
             self.entries[entry].withdraw(ticket);
@@ -430,28 +451,36 @@
                 && let Some(key) = turn.avoid.last()
             {
                 let decisions = self.entries[entry].finish(Timestamp(now), *key, Outcome::Abandoned);
-                self.carry_out(now, entry, decisions);
+                self.apply(now, entry, decisions);
             }
-            self.again(now, turn.program, turn.tries, turn.child, 250 * MILLI);
+            self.retry(now, turn.program, turn.attempts, turn.subagent_turns, 250 * MILLISECOND);
         }
     }
 }
 
-fn share(seconds: &[Second]) -> f64 {
+fn on_time_ratio(seconds: &[SecondStats]) -> f64 {
     let begun: u32 = seconds.iter().map(|second| second.begun).sum();
-    let in_time: u32 = seconds.iter().map(|second| second.in_time).sum();
-    f64::from(in_time) / f64::from(begun)
+    let on_time: u32 = seconds.iter().map(|second| second.on_time).sum();
+    f64::from(on_time) / f64::from(begun)
 }
 
 #[test]
-fn after_a_burst_programs_are_in_time_within_two_seconds() {
+fn recovers_two_seconds_after_burst() {
     for seed in [3, 5, 7] {
-        let open = play(false, seed);
-        let held = play(true, seed);
-        let (during, just_after, after) = (6..12, 12..16, 14..22);
-        assert!(share(&open[just_after.clone()]) < 0.5, "the check can fail: {}", share(&open[just_after]));
-        assert!(share(&held[after.clone()]) >= 0.95, "{}", share(&held[after]));
-        let in_time = |seconds: &[Second]| seconds.iter().map(|second| second.in_time).sum::<u32>();
-        assert!(in_time(&held[during.clone()]) * 10 >= CAPACITY * 6 * 8, "{}", in_time(&held[during]));
+        let unlimited = simulate(false, seed);
+        let limited = simulate(true, seed);
+        let (burst, just_after, recovered) = (6..12, 12..16, 14..22);
+        assert!(
+            on_time_ratio(&unlimited[just_after.clone()]) < 0.5,
+            "the scenario must overload the engines: {}",
+            on_time_ratio(&unlimited[just_after])
+        );
+        assert!(on_time_ratio(&limited[recovered.clone()]) >= 0.95, "{}", on_time_ratio(&limited[recovered]));
+        let on_time = |seconds: &[SecondStats]| seconds.iter().map(|second| second.on_time).sum::<u32>();
+        assert!(
+            on_time(&limited[burst.clone()]) * 10 >= ENGINE_CAPACITY_PER_SECOND * 6 * 8,
+            "{}",
+            on_time(&limited[burst])
+        );
     }
 }
--- a/agatetrestle/src/turns/tests/limiter.rs
+++ b/agatetrestle/src/turns/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! Tests of the door by itself; the load that it answers is replayed in [`super::burst`].
+//! Unit tests of the program limiter; [`super::burst`] simulates it under load.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use crate::turns::limiter::ProgramStart;
 use crate::turns::limiter::TurnStart;
 
-const PLACES: u32 = 100;
-/// Programs that have a turn open: more than there are places.
+const SLOTS: u32 = 100;
+/// Programs with an open turn, more than there are slots.
 const PROGRAMS: usize = 200;
-const PATIENCE: Duration = Duration::from_secs(3);
+const TIMEOUT: Duration = Duration::from_secs(3);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp(millis * 1_000)
@@ -21,68 +21,68 @@
     text.into()
 }
 
-/// Whether a program may begin, with five seconds to go.
-fn admit(door: &mut ProgramLimiter, millis: u64, program: &str) -> bool {
-    let (service, kind, program) = (name("engines"), name("chat"), name(program));
+/// Whether a program whose deadline is in five seconds may begin.
+fn admit(limiter: &mut ProgramLimiter, millis: u64, program: &str) -> bool {
+    let (service, route, program) = (name("engines"), name("chat"), name(program));
     let finish_in = Some(Duration::from_secs(5));
-    let coming = ProgramStart {
+    let start = ProgramStart {
         service: &service,
-        kind: &kind,
-        places: PLACES,
+        route: &route,
+        slots: SLOTS,
         program: &program,
         turn: &program,
         finish_in,
     };
-    door.admit(at(millis), coming).is_ok()
+    limiter.admit(at(millis), start).is_ok()
 }
 
-fn begin(door: &mut ProgramLimiter, millis: u64, program: &str) {
-    let (service, kind, program) = (name("engines"), name("chat"), name(program));
-    let beginning =
-        TurnStart { service: &service, kind: &kind, program: &program, turn: &program, patience: PATIENCE };
-    door.begin(at(millis), beginning);
+fn begin(limiter: &mut ProgramLimiter, millis: u64, program: &str) {
+    let (service, route, program) = (name("engines"), name("chat"), name(program));
+    let turn =
+        TurnStart { service: &service, route: &route, program: &program, turn: &program, timeout: TIMEOUT };
+    limiter.begin(at(millis), turn);
 }
 
-/// A door behind which too many programs have had a turn open for a while; `x` has been turned away.
-fn crowded() -> ProgramLimiter {
-    let mut door = ProgramLimiter::default();
+/// A limiter with too many active programs, which has rejected program `x`.
+fn overloaded() -> ProgramLimiter {
+    let mut limiter = ProgramLimiter::default();
     for number in 0..PROGRAMS {
-        begin(&mut door, 0, &number.to_string());
+        begin(&mut limiter, 0, &number.to_string());
     }
-    assert!(!admit(&mut door, 2_500, "x"));
-    door
+    assert!(!admit(&mut limiter, 2_500, "x"));
+    limiter
 }
 
 #[test]
-fn a_turn_whose_entry_was_lost_frees_its_place_when_its_caller_gives_up() {
-    let mut door = crowded();
-    assert_eq!(door.counts(), (PROGRAMS, PROGRAMS));
-    assert!(!admit(&mut door, 3_250, "x"));
-    assert!(admit(&mut door, 4_000, "x"));
-    assert_eq!(door.counts(), (0, 0));
+fn expires_turns_of_lost_entry() {
+    let mut limiter = overloaded();
+    assert_eq!(limiter.counts(), (PROGRAMS, PROGRAMS));
+    assert!(!admit(&mut limiter, 3_250, "x"));
+    assert!(admit(&mut limiter, 4_000, "x"));
+    assert_eq!(limiter.counts(), (0, 0));
 }
 
 #[test]
-fn a_turn_that_is_told_twice_counts_once_and_one_that_nobody_knows_ends_nothing() {
-    let mut door = crowded();
-    begin(&mut door, 2_600, "0");
-    assert_eq!(door.counts().0, PROGRAMS);
-    door.finish(at(2_700), &name("nobody"), None);
-    door.finish(at(2_700), &name("0"), Some(Duration::from_millis(190)));
-    door.finish(at(2_800), &name("0"), Some(Duration::from_millis(190)));
-    assert_eq!(door.counts().0, PROGRAMS - 1);
+fn ignores_repeated_and_unknown_turns() {
+    let mut limiter = overloaded();
+    begin(&mut limiter, 2_600, "0");
+    assert_eq!(limiter.counts().0, PROGRAMS);
+    limiter.finish(at(2_700), &name("nobody"), None);
+    limiter.finish(at(2_700), &name("0"), Some(Duration::from_millis(190)));
+    limiter.finish(at(2_800), &name("0"), Some(Duration::from_millis(190)));
+    assert_eq!(limiter.counts().0, PROGRAMS - 1);
 }
 
 #[test]
-fn who_has_waited_for_long_finds_no_room_where_a_newcomer_does() {
-    let mut door = crowded();
+fn admits_new_program_before_long_waiting() {
+    let mut limiter = overloaded();
     for number in 0..PROGRAMS {
-        // One after the other, with time for each to count as ended; nobody gives up before the last of them.
+        // The turns end one after another, all before their timeout.
         let millis = 2_500 + 3 * u64::try_from(number).unwrap();
-        door.finish(at(millis), &name(&number.to_string()), Some(Duration::from_secs(2)));
+        limiter.finish(at(millis), &name(&number.to_string()), Some(Duration::from_secs(2)));
     }
-    let room = (3_100..4_000).find(|millis| admit(&mut door, *millis, &format!("n-{millis}")));
-    let room = room.expect("a newcomer finds room");
-    assert!(!admit(&mut door, room, "x"), "it was turned away at 2.5 s, a tenth of its time ago");
-    assert!(admit(&mut door, 4_000, "x"), "it is let in once there is room enough");
+    let admitted_at = (3_100..4_000).find(|millis| admit(&mut limiter, *millis, &format!("n-{millis}")));
+    let admitted_at = admitted_at.expect("a new program is admitted");
+    assert!(!admit(&mut limiter, admitted_at, "x"), "it has waited since 2.5 s");
+    assert!(admit(&mut limiter, 4_000, "x"), "it is admitted at low utilization");
 }
