--- a/agatetrestle/src/allowance/bucket.rs
+++ b/agatetrestle/src/allowance/bucket.rs
@@ -1,4 +1,4 @@
-//! The account of one team.
+//! The token bucket of one team.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -11,151 +11,153 @@
 use crate::clock::Timestamp;
 use crate::routing::Allowance;
 
-/// Share of what may be beyond the allowance in a window that an account lets through. The rest is kept for what this place
-/// can't see, such as a request that a frozen entry sends long after it was taken.
-const USED_OVERRUN: f64 = 0.9;
-/// Requests that a program is taken to need before any was seen, and the programs that this counts as.
-const FIRST_NEED: (f64, f64) = (10.0, 2.0);
-/// Time after which what a program needed counts a third as much: long against the seconds that one lasts, short against the
-/// change of a team's work within a day.
-const NEED_MEMORY: Duration = Duration::from_secs(20);
-/// Time without a request after which a program is taken to have ended: tools and pauses between turns are shorter.
-const PAUSE: Duration = Duration::from_millis(1_500);
-/// Part of what a program usually needs that is kept for one that has used that up: some need several times the usual.
-const LEAST_KEPT: f64 = 0.6;
-/// Time ahead over which an account is reckoned to fill when it is asked whether a program may begin: a program sends its
-/// requests over a second and more.
-const AHEAD: Duration = Duration::from_millis(1_250);
-/// Shortest and longest time that a caller is told to come back after. Below, coming back costs more than it gains; above, its
-/// program has lost its time.
-const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
+/// Part of the permitted overrun of a window that a bucket grants. The rest covers requests that are sent long after they
+/// were granted, as by a paused entry.
+const USABLE_OVERRUN_RATIO: f64 = 0.9;
+/// Requests that a program is assumed to need before any measurement, and the weight of that assumption in programs.
+const DEMAND_PRIOR: (f64, f64) = (10.0, 2.0);
+/// Time constant of the moving average of requests per program: longer than a program lasts, shorter than changes of a
+/// team's load.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(20);
+/// Time without a request after which a program counts as ended. Longer than tool calls and pauses between turns.
+const REQUEST_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Part of the average demand that stays reserved for a program that has exceeded it; some need several times the average.
+const MIN_RESERVE_RATIO: f64 = 0.6;
+/// Time of refill that counts as available when a program asks to begin, since its requests are spread over time.
+const REFILL_LOOKAHEAD: Duration = Duration::from_millis(1_250);
+/// Bounds of the retry delay: a shorter one costs more than it gains, a longer one makes programs miss their deadlines.
+const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(2));
 
 #[derive(Clone, Debug)]
 struct Program {
-    used: f64,
-    last: Timestamp,
+    requests: f64,
+    last_request: Timestamp,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct TokenBucket {
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    /// Requests that it holds at most.
-    depth: f64,
-    level: f64,
-    /// Programs that have begun, by what they have used.
+    capacity: f64,
+    tokens: f64,
     programs: HashMap<Arc<str>, Program>,
-    /// The same by their last request.
-    by_last: BTreeSet<(Timestamp, Arc<str>)>,
-    at: Timestamp,
-    /// Requests and beginnings of late, from which follows what a program needs.
-    requests: f64,
-    beginnings: f64,
+    by_last_request: BTreeSet<(Timestamp, Arc<str>)>,
+    updated: Timestamp,
+    /// Decaying counts of requests and of programs that began; their quotient is the average demand of a program.
+    recent_requests: f64,
+    recent_programs: f64,
 }
 
 impl TokenBucket {
-    /// An empty account, which nothing fills before its limit is set.
+    /// An empty bucket that does not refill before its limit is set.
     pub(super) fn new(now: Timestamp) -> Self {
-        let (need, programs) = FIRST_NEED;
+        let (demand, programs) = DEMAND_PRIOR;
         Self {
             rate: 0.0,
-            depth: 0.0,
-            level: 0.0,
+            capacity: 0.0,
+            tokens: 0.0,
             programs: HashMap::new(),
-            by_last: BTreeSet::new(),
-            at: now,
-            requests: need * programs,
-            beginnings: programs,
+            by_last_request: BTreeSet::new(),
+            updated: now,
+            recent_requests: demand * programs,
+            recent_programs: programs,
         }
     }
 
-    /// Sets the limit. In any window at most `depth + rate * window` requests are let through, which is the most that may run.
-    pub(super) fn limit(&mut self, now: Timestamp, allowance: Allowance, bounds: AllowanceBounds) {
-        self.pass(now);
+    /// Sets the limit. The bucket grants at most `capacity + rate * window` requests in any window.
+    pub(super) fn set_limit(&mut self, now: Timestamp, allowance: Allowance, bounds: AllowanceBounds) {
+        self.advance(now);
         let Allowance { per_second, burst } = allowance;
-        let window = per_second * bounds.window.as_secs_f64() + burst;
-        let beyond = window * bounds.overrun + f64::from(bounds.slack);
+        let permitted = per_second * bounds.window.as_secs_f64() + burst;
+        let overrun = permitted * bounds.overrun + f64::from(bounds.slack);
         self.rate = per_second;
-        self.depth = burst + beyond * USED_OVERRUN;
-        self.level = self.level.min(self.depth);
+        self.capacity = burst + overrun * USABLE_OVERRUN_RATIO;
+        self.tokens = self.tokens.min(self.capacity);
     }
 
-    pub(super) fn empty(&mut self, now: Timestamp) {
-        self.at = now;
-        self.level = 0.0;
+    pub(super) fn clear(&mut self, now: Timestamp) {
+        self.updated = now;
+        self.tokens = 0.0;
         self.programs.clear();
-        self.by_last.clear();
+        self.by_last_request.clear();
     }
 
-    /// Takes a request of a program, or says when there may be room for it.
+    /// Takes a token for a request, or returns the time after which to retry.
     pub(super) fn take(
         &mut self,
         now: Timestamp,
         program: Option<&Arc<str>>,
-        need: RequestKind,
+        kind: RequestKind,
     ) -> Result<(), Duration> {
-        self.pass(now);
-        let missing = match need {
-            RequestKind::Beginning => self.missing_to_begin(),
-            RequestKind::Request => 1.0 - self.level,
+        self.advance(now);
+        let shortfall = match kind {
+            RequestKind::Beginning => self.shortfall_to_begin(),
+            RequestKind::Request => 1.0 - self.tokens,
         };
-        if missing > 0.0 {
-            return Err(self.time_for(missing));
+        if shortfall > 0.0 {
+            return Err(self.refill_time(shortfall));
         }
-        self.level -= 1.0;
-        self.requests += 1.0;
-        self.beginnings += f64::from(u8::from(need == RequestKind::Beginning));
+        self.tokens -= 1.0;
+        self.recent_requests += 1.0;
+        self.recent_programs += f64::from(u8::from(kind == RequestKind::Beginning));
         if let Some(program) = program {
-            self.note(now, program);
+            self.record_program(now, program);
         }
         Ok(())
     }
 
-    /// Requests that are missing for a program to begin: beside its own, those that are kept for programs that have begun.
-    fn missing_to_begin(&self) -> f64 {
-        let need = self.need();
-        let kept: f64 =
-            self.programs.values().map(|program| (need - program.used).max(need * LEAST_KEPT)).sum();
-        let ahead = self.level + self.rate * AHEAD.as_secs_f64();
-        (need + kept - ahead).max(1.0 - self.level)
+    /// Tokens missing for a program to begin: its own demand and the reserves of active programs must be covered.
+    fn shortfall_to_begin(&self) -> f64 {
+        let demand = self.requests_per_program();
+        let reserved: f64 = self
+            .programs
+            .values()
+            .map(|program| (demand - program.requests).max(demand * MIN_RESERVE_RATIO))
+            .sum();
+        let available = self.tokens + self.rate * REFILL_LOOKAHEAD.as_secs_f64();
+        (demand + reserved - available).max(1.0 - self.tokens)
     }
 
-    fn note(&mut self, now: Timestamp, name: &Arc<str>) {
-        let program = self.programs.entry(name.clone()).or_insert(Program { used: 0.0, last: now });
-        self.by_last.remove(&(program.last, name.clone()));
-        program.used += 1.0;
-        program.last = now;
-        self.by_last.insert((now, name.clone()));
+    fn record_program(&mut self, now: Timestamp, name: &Arc<str>) {
+        let program =
+            self.programs.entry(name.clone()).or_insert(Program { requests: 0.0, last_request: now });
+        self.by_last_request.remove(&(program.last_request, name.clone()));
+        program.requests += 1.0;
+        program.last_request = now;
+        self.by_last_request.insert((now, name.clone()));
     }
 
-    /// Requests that a program of the team needs, the first included.
-    fn need(&self) -> f64 {
-        (self.requests / self.beginnings).max(1.0)
+    /// Average demand of a program of the team.
+    fn requests_per_program(&self) -> f64 {
+        (self.recent_requests / self.recent_programs).max(1.0)
     }
 
-    fn time_for(&self, missing: f64) -> Duration {
-        let seconds = missing / self.rate.max(f64::MIN_POSITIVE);
-        Duration::try_from_secs_f64(seconds).unwrap_or(RETRY_AFTER.1).clamp(RETRY_AFTER.0, RETRY_AFTER.1)
+    fn refill_time(&self, shortfall: f64) -> Duration {
+        let seconds = shortfall / self.rate.max(f64::MIN_POSITIVE);
+        Duration::try_from_secs_f64(seconds)
+            .unwrap_or(RETRY_AFTER_RANGE.1)
+            .clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1)
     }
 
-    fn pass(&mut self, now: Timestamp) {
-        let span = now.since(self.at);
-        self.at = self.at.max(now);
-        self.level = (self.level + self.rate * span.as_secs_f64()).min(self.depth);
-        while let Some((last, _)) = self.by_last.first()
-            && now.since(*last) > PAUSE
-            && let Some((_, program)) = self.by_last.pop_first()
+    /// Adds tokens for the elapsed time, drops idle programs and decays the demand counts.
+    fn advance(&mut self, now: Timestamp) {
+        let elapsed = now.since(self.updated);
+        self.updated = self.updated.max(now);
+        self.tokens = (self.tokens + self.rate * elapsed.as_secs_f64()).min(self.capacity);
+        while let Some((last_request, _)) = self.by_last_request.first()
+            && now.since(*last_request) > REQUEST_IDLE_TIMEOUT
+            && let Some((_, program)) = self.by_last_request.pop_first()
         {
             self.programs.remove(&program);
         }
-        let fade = fade(span, NEED_MEMORY);
-        let (need, programs) = FIRST_NEED;
-        self.requests = need * programs + (self.requests - need * programs) * fade;
-        self.beginnings = programs + (self.beginnings - programs) * fade;
+        let decay = decay(elapsed, DEMAND_TIME_CONSTANT);
+        let (demand, programs) = DEMAND_PRIOR;
+        self.recent_requests = demand * programs + (self.recent_requests - demand * programs) * decay;
+        self.recent_programs = programs + (self.recent_programs - programs) * decay;
     }
 }
 
-/// What is left after a time of what fades to a third in `memory`.
-fn fade(span: Duration, memory: Duration) -> f64 {
-    (-span.as_secs_f64() / memory.as_secs_f64()).exp()
+/// Factor of an exponential decay.
+fn decay(elapsed: Duration, time_constant: Duration) -> f64 {
+    (-elapsed.as_secs_f64() / time_constant.as_secs_f64()).exp()
 }
--- a/agatetrestle/src/allowance/mod.rs
+++ b/agatetrestle/src/allowance/mod.rs
@@ -1,9 +1,8 @@
-//! How many requests of a team may still be sent, over all entries together.
+//! Rate limits of teams over all entries together.
 //!
-//! One place counts for a team: the leader of the state group that the team's name falls to. Each request is taken from its
-//! account before it is sent, so no entry, in touch or not, can send what was not counted. Why this way, what a change of
-//! leader costs, and what it was compared with: docs/design/014-teams-and-whole-programs.md. The slice is pure: time comes in
-//! as an argument.
+//! The leader of the state group that a team's name is assigned to holds the team's token bucket. Each request takes a token
+//! before it is sent, so an entry that is cut off sends nothing uncounted. Leader changes and alternatives are covered in
+//! docs/design/014-teams-and-whole-programs.md. The module is free of I/O and takes the time as an argument.
 
 mod bucket;
 #[cfg(test)]
@@ -19,92 +18,92 @@
 use crate::clock::Timestamp;
 use crate::routing::Team;
 
-/// What is asked of an account.
+/// The position of a request in its program.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestKind {
-    /// The first request of a program, after which more of them come.
+    /// The first request of a program, which more will follow.
     Beginning,
     /// Any other request.
     Request,
 }
 
-/// A request that is to be sent.
+/// A request that needs a token before it is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingRequest<'a> {
-    /// The team whose request it is.
+    /// The team that sends it.
     pub team: &'a str,
-    /// The program that it is a part of, if any.
+    /// The program that it belongs to, if any.
     pub program: Option<&'a Arc<str>>,
-    /// What it is to its program.
-    pub need: RequestKind,
+    /// Its position in the program.
+    pub kind: RequestKind,
 }
 
 /// Why a request must not be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denial {
-    /// The team has sent as much as it may; there is room for another after this time.
+    /// The team is over its rate limit and may retry after this time.
     OverLimit(Duration),
-    /// This place has not been told of the team yet.
+    /// The team's configuration has not arrived yet.
     UnknownTeam,
 }
 
-/// The accounts of all teams of a group.
+/// The token buckets of all teams of a state group.
 #[derive(Debug)]
 pub struct RateLimiter {
     bounds: AllowanceBounds,
-    /// Term in which this replica leads; with another one it knows nothing of what was sent.
+    /// The term that the buckets are valid for.
     term: u64,
-    /// None of a team that may send without a limit.
+    /// `None` for a team without a limit.
     teams: HashMap<Arc<str>, Option<TokenBucket>>,
 }
 
 impl RateLimiter {
-    /// RateLimiter that know no team yet.
+    /// Starts without teams.
     #[must_use]
     pub fn new(bounds: AllowanceBounds) -> Self {
         Self { bounds, term: 0, teams: HashMap::new() }
     }
 
-    /// Takes in the declared teams. One that stays keeps its account; what a lowered limit no longer holds is gone at once.
+    /// Replaces the configured teams. A team that remains keeps its bucket; tokens beyond a lowered limit are dropped.
     pub fn set_teams(&mut self, now: Timestamp, teams: &[Arc<Team>]) {
         let bounds = self.bounds;
-        let mut before = std::mem::take(&mut self.teams);
-        let declared = teams.iter().map(|team| {
-            let account = team.allowance.map(|allowance| {
-                let known = before.remove(&team.name).flatten();
-                let mut account = known.unwrap_or_else(|| TokenBucket::new(now));
-                account.limit(now, allowance, bounds);
-                account
+        let mut previous = std::mem::take(&mut self.teams);
+        let buckets = teams.iter().map(|team| {
+            let bucket = team.allowance.map(|allowance| {
+                let existing = previous.remove(&team.name).flatten();
+                let mut bucket = existing.unwrap_or_else(|| TokenBucket::new(now));
+                bucket.set_limit(now, allowance, bounds);
+                bucket
             });
-            (team.name.clone(), account)
+            (team.name.clone(), bucket)
         });
-        self.teams = declared.collect();
+        self.teams = buckets.collect();
     }
 
-    /// Takes a request from a team's account, for the leader of a term.
+    /// Takes a token from a team's bucket, as the leader of `term`.
     ///
     /// # Errors
     ///
-    /// Says why the request must not be sent.
-    pub fn take(&mut self, now: Timestamp, term: u64, asked: OutgoingRequest<'_>) -> Result<(), Denial> {
-        self.lead(now, term);
-        let OutgoingRequest { team, program, need } = asked;
+    /// The reason why the request must not be sent.
+    pub fn take(&mut self, now: Timestamp, term: u64, request: OutgoingRequest<'_>) -> Result<(), Denial> {
+        self.start_term(now, term);
+        let OutgoingRequest { team, program, kind } = request;
         match self.teams.get_mut(team) {
             None => Err(Denial::UnknownTeam),
             Some(None) => Ok(()),
-            Some(Some(account)) => account.take(now, program, need).map_err(Denial::OverLimit),
+            Some(Some(bucket)) => bucket.take(now, program, kind).map_err(Denial::OverLimit),
         }
     }
 
-    /// Empties every account when a term begins: what the leader before let through is not known here. From empty, an account
-    /// fills as if that leader had taken all there was, so that no window holds more than one leader could let through.
-    fn lead(&mut self, now: Timestamp, term: u64) {
+    /// Empties all buckets when a term begins, as if the previous leader had granted every token. Thus no window exceeds the
+    /// limit across a change of leader.
+    fn start_term(&mut self, now: Timestamp, term: u64) {
         if self.term == term {
             return;
         }
         self.term = term;
-        for account in self.teams.values_mut().flatten() {
-            account.empty(now);
+        for bucket in self.teams.values_mut().flatten() {
+            bucket.clear(now);
         }
     }
 }
--- a/agatetrestle/src/allowance/tests.rs
+++ b/agatetrestle/src/allowance/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the accounts of teams.
+//! Tests of the rate limits of teams.
 
 use std::collections::VecDeque;
 
@@ -16,86 +16,85 @@
     Arc::new(Team { name: name.into(), keys: Vec::new(), priority: 1, allowance })
 }
 
-fn accounts(per_second: f64) -> RateLimiter {
-    let mut accounts = RateLimiter::new(BOUNDS);
-    accounts.set_teams(Timestamp(0), &[team(RED, per_second)]);
-    accounts
+fn limiter(per_second: f64) -> RateLimiter {
+    let mut limiter = RateLimiter::new(BOUNDS);
+    limiter.set_teams(Timestamp(0), &[team(RED, per_second)]);
+    limiter
 }
 
 fn at(millis: u64) -> Timestamp {
     Timestamp(millis * 1_000)
 }
 
-fn asked(team: &str, need: RequestKind) -> OutgoingRequest<'_> {
-    OutgoingRequest { team, program: None, need }
+fn request(team: &str, kind: RequestKind) -> OutgoingRequest<'_> {
+    OutgoingRequest { team, program: None, kind }
 }
 
-fn number(count: usize) -> f64 {
+fn to_f64(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap())
 }
 
-/// The most requests that any window holds.
-fn fullest(taken: &[u64]) -> f64 {
+fn max_per_window(granted: &[u64]) -> f64 {
     let window = u64::try_from(BOUNDS.window.as_millis()).unwrap();
-    let held = |first: usize| taken[first..].iter().take_while(|time| **time < taken[first] + window).count();
-    number((0..taken.len()).map(held).max().unwrap_or(0))
+    let count =
+        |first: usize| granted[first..].iter().take_while(|time| **time < granted[first] + window).count();
+    to_f64((0..granted.len()).map(count).max().unwrap_or(0))
 }
 
-fn most(per_second: f64) -> f64 {
+fn window_limit(per_second: f64) -> f64 {
     (per_second * BOUNDS.window.as_secs_f64() + per_second) * (1.0 + BOUNDS.overrun) + f64::from(BOUNDS.slack)
 }
 
-/// What happens to the two replicas of which one leads.
+/// An event for two replicas, one of which leads.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// So many requests are asked for at the leader.
-    Ask(u8),
-    /// Time passes, in milliseconds.
-    Pass(u16),
-    /// The other replica leads; it has heard nothing of the accounts.
-    Lead,
-    /// The leader restarts and leads again.
+    /// This many requests arrive at the leader.
+    Request(u8),
+    /// Milliseconds pass.
+    Advance(u16),
+    /// The other replica becomes leader with its own buckets.
+    ChangeLeader,
+    /// The leader restarts and is elected again.
     Restart,
-    /// The limit is declared again, halved or as it was.
-    Declare(bool),
+    /// The limit is configured again, halved if true.
+    SetLimit(bool),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (1_u8..60).prop_map(Step::Ask),
-        4 => (1_u16..1_500).prop_map(Step::Pass),
-        1 => Just(Step::Lead),
+        4 => (1_u8..60).prop_map(Step::Request),
+        4 => (1_u16..1_500).prop_map(Step::Advance),
+        1 => Just(Step::ChangeLeader),
         1 => Just(Step::Restart),
-        1 => any::<bool>().prop_map(Step::Declare),
+        1 => any::<bool>().prop_map(Step::SetLimit),
     ]
 }
 
-/// Plays steps and returns when requests were let through; `emptied` is what a leader does with its accounts when its term
-/// begins.
-fn play(rate: f64, steps: &[Step], emptied: bool) -> Vec<u64> {
-    let mut replicas = [accounts(rate), accounts(rate)];
+/// Runs the steps and returns the times of granted requests. With `report_term` leaders clear their buckets in a new term.
+fn run_steps(rate: f64, steps: &[Step], report_term: bool) -> Vec<u64> {
+    let mut replicas = [limiter(rate), limiter(rate)];
     let (mut leader, mut term, mut now) = (0, 1, 100_000);
-    let mut taken = Vec::new();
+    let mut granted = Vec::new();
     for step in steps {
         match *step {
-            Step::Ask(count) => {
-                let told = if emptied { term } else { 1 };
-                let asked = (0..count).filter(|number| {
-                    let need = if number % 7 == 0 { RequestKind::Beginning } else { RequestKind::Request };
-                    replicas[leader].take(at(now), told, asked(RED, need)).is_ok()
+            Step::Request(count) => {
+                let reported = if report_term { term } else { 1 };
+                let granted_now = (0..count).filter(|number| {
+                    let kind = if number % 7 == 0 { RequestKind::Beginning } else { RequestKind::Request };
+                    replicas[leader].take(at(now), reported, request(RED, kind)).is_ok()
                 });
-                taken.extend(std::iter::repeat_n(now, asked.count()));
+                granted.extend(std::iter::repeat_n(now, granted_now.count()));
             }
-            Step::Pass(millis) => now += u64::from(millis),
-            Step::Lead => {
+            Step::Advance(millis) => now += u64::from(millis),
+            Step::ChangeLeader => {
                 leader = 1 - leader;
                 term += 1;
             }
             Step::Restart => {
-                replicas[leader] = accounts(rate);
+                replicas[leader] = limiter(rate);
                 term += 1;
             }
-            Step::Declare(halved) => {
+            Step::SetLimit(halved) => {
                 let rate = if halved { rate / 2.0 } else { rate };
                 for replica in &mut replicas {
                     replica.set_teams(at(now), &[team(RED, rate)]);
@@ -103,140 +102,148 @@
             }
         }
     }
-    taken
+    granted
 }
 
 proptest! {
     #[test]
-    fn no_window_holds_more_than_the_allowance_whoever_leads(
+    fn limits_requests_per_window_across_leaders(
         rate in 1_u32..200,
         steps in prop::collection::vec(step(), 1..80),
     ) {
-        let taken = play(rate.into(), &steps, true);
-        prop_assert!(fullest(&taken) <= most(rate.into()), "{}", fullest(&taken));
+        let granted = run_steps(rate.into(), &steps, true);
+        prop_assert!(max_per_window(&granted) <= window_limit(rate.into()), "{}", max_per_window(&granted));
     }
 }
 
 #[test]
-fn a_leader_that_believes_its_accounts_full_breaks_the_allowance() {
-    let begin = [Step::Ask(1), Step::Lead, Step::Ask(1), Step::Pass(5_000)];
-    let again = [Step::Ask(59), Step::Lead, Step::Ask(59), Step::Pass(1_250)];
-    let steps: Vec<Step> = begin.into_iter().chain(again.into_iter().cycle().take(16)).collect();
-    let held = |emptied| fullest(&play(11.0, &steps, emptied));
-    assert!(held(false) > most(11.0), "the check can fail: {}", held(false));
-    assert!(held(true) <= most(11.0), "{}", held(true));
+fn buckets_kept_across_terms_exceed_limit() {
+    let start = [Step::Request(1), Step::ChangeLeader, Step::Request(1), Step::Advance(5_000)];
+    let repeated = [Step::Request(59), Step::ChangeLeader, Step::Request(59), Step::Advance(1_250)];
+    let steps: Vec<Step> = start.into_iter().chain(repeated.into_iter().cycle().take(16)).collect();
+    let max = |report_term| max_per_window(&run_steps(11.0, &steps, report_term));
+    assert!(max(false) > window_limit(11.0), "the scenario must exceed the limit: {}", max(false));
+    assert!(max(true) <= window_limit(11.0), "{}", max(true));
 }
 
 #[test]
-fn a_lowered_limit_binds_one_window_later() {
-    let mut accounts = accounts(100.0);
-    let mut taken = Vec::new();
+fn lowered_limit_applies_after_one_window() {
+    let mut limiter = limiter(100.0);
+    let mut granted = Vec::new();
     for now in 0..20_000 {
         if now == 10_000 {
-            accounts.set_teams(at(now), &[team(RED, 10.0)]);
+            limiter.set_teams(at(now), &[team(RED, 10.0)]);
         }
-        if accounts.take(at(now), 1, asked(RED, RequestKind::Request)).is_ok() {
-            taken.push(now);
+        if limiter.take(at(now), 1, request(RED, RequestKind::Request)).is_ok() {
+            granted.push(now);
         }
     }
-    let after: Vec<u64> = taken.into_iter().filter(|time| *time >= 10_000).collect();
-    assert!(fullest(&after) <= most(10.0), "{}", fullest(&after));
+    let after: Vec<u64> = granted.into_iter().filter(|time| *time >= 10_000).collect();
+    assert!(max_per_window(&after) <= window_limit(10.0), "{}", max_per_window(&after));
     assert!(after.len() >= 100, "{}", after.len());
 }
 
 #[test]
-fn a_team_without_a_limit_is_never_held_and_an_unknown_one_waits_to_be_told() {
-    let mut accounts = accounts(1.0);
-    assert_eq!(accounts.take(at(1), 1, asked("blue", RequestKind::Request)), Err(Denial::UnknownTeam));
-    accounts.set_teams(at(2), &[team(RED, 1.0), team("blue", 0.0)]);
-    assert!((0..1_000).all(|_| accounts.take(at(3), 1, asked("blue", RequestKind::Request)).is_ok()));
-    let told = accounts.take(at(3), 1, asked(RED, RequestKind::Request)).unwrap_err();
-    assert!(matches!(told, Denial::OverLimit(after) if after > Duration::from_millis(500)), "{told:?}");
+fn grants_unlimited_team_and_denies_unknown_team() {
+    let mut limiter = limiter(1.0);
+    assert_eq!(limiter.take(at(1), 1, request("blue", RequestKind::Request)), Err(Denial::UnknownTeam));
+    limiter.set_teams(at(2), &[team(RED, 1.0), team("blue", 0.0)]);
+    assert!((0..1_000).all(|_| limiter.take(at(3), 1, request("blue", RequestKind::Request)).is_ok()));
+    let denial = limiter.take(at(3), 1, request(RED, RequestKind::Request)).unwrap_err();
+    assert!(matches!(denial, Denial::OverLimit(after) if after > Duration::from_millis(500)), "{denial:?}");
 }
 
-/// How often a program that may not begin comes, each time after it was told.
-const TIMES: u32 = 3;
+/// Attempts of a program to begin, each after the returned delay.
+const MAX_START_ATTEMPTS: u32 = 3;
 
-/// Programs of a team: when each begins, and its requests some time after one another.
 struct Programs {
     rng: Random,
-    due: VecDeque<(u64, u64)>,
-    left: Vec<u64>,
-}
-
-/// Plays programs that begin so many times a second for 200 s, each of 1 to 27 requests; returns programs that were denied
-/// whenever they came to begin, those that were denied later, and those that ended.
-fn work(rate: f64, begin_per_second: f64, seed: u64) -> (usize, usize, usize) {
-    let mut accounts = accounts(rate);
-    accounts.take(at(0), 1, asked(RED, RequestKind::Request)).expect_err("a term begins with empty accounts");
-    let mut programs = Programs { rng: Random::new(seed), due: VecDeque::new(), left: Vec::new() };
-    let (mut denied, mut broken, mut ended, mut begun) = (0, 0, 0, 0.0);
-    let mut coming = Vec::new();
+    /// Time and program of each coming request.
+    scheduled: VecDeque<(u64, u64)>,
+    remaining_requests: Vec<u64>,
+}
+
+/// Simulates 200 s of programs with 1 to 27 requests each. Returns the numbers of programs that could not begin, that were
+/// denied a later request, and that completed.
+fn run_programs(rate: f64, starts_per_second: f64, seed: u64) -> (usize, usize, usize) {
+    let mut limiter = limiter(rate);
+    limiter.take(at(0), 1, request(RED, RequestKind::Request)).expect_err("a term begins with empty buckets");
+    let mut programs =
+        Programs { rng: Random::new(seed), scheduled: VecDeque::new(), remaining_requests: Vec::new() };
+    let (mut rejected, mut interrupted, mut completed, mut pending_starts) = (0, 0, 0, 0.0);
+    let mut arrivals = Vec::new();
     for now in 5_000..205_000 {
-        // Evenly, so that no window holds more beginnings than another.
-        begun += begin_per_second / 1_000.0;
-        if begun >= 1.0 {
-            begun -= 1.0;
-            coming.push((now, 1));
+        // Programs start at even intervals, so that all windows have the same load.
+        pending_starts += starts_per_second / 1_000.0;
+        if pending_starts >= 1.0 {
+            pending_starts -= 1.0;
+            arrivals.push((now, 1));
         }
-        let (come, later): (Vec<(u64, u32)>, _) = coming.into_iter().partition(|(time, _)| *time <= now);
-        coming = later;
-        for (_, times) in come {
-            let name = programs.left.len().to_string().into();
-            let beginning = OutgoingRequest { program: Some(&name), ..asked(RED, RequestKind::Beginning) };
-            match accounts.take(at(now), 1, beginning) {
+        let (arrived, later): (Vec<(u64, u32)>, _) = arrivals.into_iter().partition(|(time, _)| *time <= now);
+        arrivals = later;
+        for (_, attempt) in arrived {
+            let name = programs.remaining_requests.len().to_string().into();
+            let first = OutgoingRequest { program: Some(&name), ..request(RED, RequestKind::Beginning) };
+            match limiter.take(at(now), 1, first) {
                 Ok(()) => {
-                    programs.left.push(programs.rng.below(27));
+                    programs.remaining_requests.push(programs.rng.below(27));
                     let next = now + 100 + programs.rng.below(200);
-                    programs.due.push_back((next, programs.left.len() as u64 - 1));
+                    programs.scheduled.push_back((next, programs.remaining_requests.len() as u64 - 1));
                 }
-                Err(Denial::OverLimit(after)) if times < TIMES => {
-                    coming.push((now + u64::try_from(after.as_millis()).unwrap(), times + 1));
+                Err(Denial::OverLimit(after)) if attempt < MAX_START_ATTEMPTS => {
+                    arrivals.push((now + u64::try_from(after.as_millis()).unwrap(), attempt + 1));
                 }
-                Err(_) => denied += 1,
+                Err(_) => rejected += 1,
             }
         }
-        let due: Vec<(u64, u64)> = programs.due.iter().copied().filter(|(time, _)| *time <= now).collect();
-        programs.due.retain(|(time, _)| *time > now);
+        let due: Vec<(u64, u64)> =
+            programs.scheduled.iter().copied().filter(|(time, _)| *time <= now).collect();
+        programs.scheduled.retain(|(time, _)| *time > now);
         for (_, program) in due {
-            let left = &mut programs.left[usize::try_from(program).unwrap()];
-            if *left == 0 {
-                ended += 1;
+            let remaining = &mut programs.remaining_requests[usize::try_from(program).unwrap()];
+            if *remaining == 0 {
+                completed += 1;
                 continue;
             }
-            *left -= 1;
+            *remaining -= 1;
             let name = program.to_string().into();
-            let request = OutgoingRequest { program: Some(&name), ..asked(RED, RequestKind::Request) };
-            if accounts.take(at(now), 1, request).is_err() {
-                broken += 1;
+            let next = OutgoingRequest { program: Some(&name), ..request(RED, RequestKind::Request) };
+            if limiter.take(at(now), 1, next).is_err() {
+                interrupted += 1;
                 continue;
             }
-            programs.due.push_back((now + 100 + programs.rng.below(200), program));
+            programs.scheduled.push_back((now + 100 + programs.rng.below(200), program));
         }
     }
-    (denied, broken, ended)
+    (rejected, interrupted, completed)
 }
 
 #[test]
-fn what_is_inside_the_allowance_is_let_through() {
-    // A program needs 14 requests, and the limit is 1.6 times the usual.
+fn completes_programs_within_limit() {
+    // A program has 14 requests on average, and the load is the limit divided by 1.6.
     for (rate, seed) in [(11.0, 1), (11.0, 2), (30.0, 3), (179.0, 4)] {
-        let (denied, broken, ended) = work(rate, rate / 1.6 / 14.0, seed);
-        let all = denied + broken + ended;
-        assert!((denied + broken) * 50 <= all, "{rate}: {denied} denied, {broken} broken, {ended} ended");
+        let (rejected, interrupted, completed) = run_programs(rate, rate / 1.6 / 14.0, seed);
+        let all = rejected + interrupted + completed;
+        assert!(
+            (rejected + interrupted) * 50 <= all,
+            "{rate}: {rejected} rejected, {interrupted} interrupted, {completed} completed"
+        );
     }
 }
 
 #[test]
-fn of_a_hot_team_beginnings_are_denied_and_what_has_begun_goes_on() {
+fn overloaded_team_completes_started_programs() {
     for (rate, seed) in [(11.0, 1), (30.0, 3), (179.0, 4), (179.0, 5)] {
-        let (denied, broken, ended) = work(rate, rate * 7.5 / 1.6 / 14.0, seed);
-        // 200 s of the rate hold this many programs.
-        let held = rate * 200.0 / 14.0;
+        let (rejected, interrupted, completed) = run_programs(rate, rate * 7.5 / 1.6 / 14.0, seed);
+        // The limit allows this many programs in 200 s.
+        let allowed = rate * 200.0 / 14.0;
+        assert!(
+            to_f64(completed) >= 0.75 * allowed,
+            "{rate}: {rejected} rejected, {interrupted} interrupted, {completed} of {allowed} completed"
+        );
         assert!(
-            number(ended) >= 0.75 * held,
-            "{rate}: {denied} denied, {broken} broken, {ended} of {held} ended"
+            interrupted * 20 <= completed,
+            "{rate}: {rejected} rejected, {interrupted} interrupted, {completed} completed"
         );
-        assert!(broken * 20 <= ended, "{rate}: {denied} denied, {broken} broken, {ended} ended");
     }
 }
--- a/agatetrestle/src/turns/admission.rs
+++ b/agatetrestle/src/turns/admission.rs
@@ -84,7 +84,7 @@
             self.charge(
                 now,
                 term,
-                OutgoingRequest { team: &begin.team, program: Some(&begin.program), need: kind },
+                OutgoingRequest { team: &begin.team, program: Some(&begin.program), kind },
             )?;
         }
         Ok(())
@@ -115,14 +115,14 @@
     /// Charges one request to a team's rate limit, as the leader of `term`.
     pub fn take(&mut self, now: Timestamp, term: u64, take: &Take) -> TurnReply {
         let kind = if take.begins { RequestKind::Beginning } else { RequestKind::Request };
-        let request = OutgoingRequest { team: &take.team, program: take.program.as_ref(), need: kind };
+        let request = OutgoingRequest { team: &take.team, program: take.program.as_ref(), kind };
         self.charge(now, term, request).err().unwrap_or(TurnReply::Taken)
     }
 
     fn charge(&mut self, now: Timestamp, term: u64, request: OutgoingRequest<'_>) -> Result<(), TurnReply> {
         self.rate_limiter.take(now, term, request).map_err(|denial| match denial {
             Denial::OverLimit(retry_after) => {
-                let OutgoingRequest { team, need: kind, .. } = request;
+                let OutgoingRequest { team, kind, .. } = request;
                 info!(
                     "team={team} need={kind:?} is over its rate limit: retry_ms={}",
                     retry_after.as_millis()
