--- a/agatetrestle/src/entry/begin.rs
+++ b/agatetrestle/src/entry/begin.rs
@@ -1,17 +1,17 @@
-//! The begin of a call: what the ledger knows of the request, and whether this node may go on with it.
+//! Begins a call: looks up earlier requests with the same key and opens the call in the ledger.
 
 use std::sync::Arc;
 
 use crate::attempts::Ending;
 use crate::entry::ApiServer;
-use crate::entry::carry::Begun;
-use crate::entry::carry::Carried;
-use crate::entry::known::Known;
+use crate::entry::call_task::CallStart;
+use crate::entry::call_task::CallTask;
 use crate::entry::problem::Problem;
-use crate::entry::problem::Reason;
-use crate::entry::problem::Told;
+use crate::entry::problem::ProblemReason;
+use crate::entry::problem::RunOutcome;
 use crate::entry::programs;
-use crate::entry::programs::COMEBACK;
+use crate::entry::programs::RETRY_AFTER;
+use crate::entry::recent_programs::RecentProgram;
 use crate::entry::routes;
 use crate::ids::AttemptId;
 use crate::ids::ProgramId;
@@ -25,174 +25,174 @@
 use crate::programs::command::Refusal;
 use crate::programs::command::Repeatable;
 
-/// Deepest nesting of sub-agents that is followed to find the outermost program.
-const ROOT_DEPTH: u32 = 64;
+/// Levels of parents that are followed to find the root program of a sub-agent.
+const MAX_PARENT_DEPTH: u32 = 64;
 
-/// State in which the members list a node that is not heard of.
-const SILENT: &str = "silent";
+/// State of a member that has stopped sending heartbeats.
+const SILENT_STATE: &str = "silent";
 
-impl Carried<'_> {
-    /// The program, where this is its next call by all that is known here. Such a call is queued first
-    /// and begins when it is about to be sent; any other may be a resend and asks the ledger at once.
-    pub(super) fn known(&self) -> Option<Known> {
-        routes::taking_work(self.entry).ok()?;
-        let out = &self.planned.outgoing;
-        let known = self.entry.state.known.get(&out.program)?;
-        (known.view.next_call == out.call && !known.view.ended).then_some(known)
+impl CallTask<'_> {
+    /// The cached program, if this is its next call. Such a call is queued first and begun just before it is
+    /// sent. Any other call may be a resend, so it is begun in the ledger before it is queued.
+    pub(super) fn expected_program(&self) -> Option<RecentProgram> {
+        routes::require_accepting_work(self.server).ok()?;
+        let outgoing = &self.call.outgoing;
+        let cached = self.server.state.recent.get(&outgoing.program)?;
+        (cached.view.next_call == outgoing.call && !cached.view.ended).then_some(cached)
     }
 
-    pub(super) async fn begin(&self) -> Result<Begun, Problem> {
-        if let Err(problem) = routes::taking_work(self.entry) {
-            return self.refused(problem).await.map(Begun::Settled);
+    pub(super) async fn begin(&self) -> Result<CallStart, Problem> {
+        if let Err(problem) = routes::require_accepting_work(self.server) {
+            return self.resolve_refusal(problem).await.map(CallStart::Answered);
         }
-        self.reserve.set(self.wanted_reserve());
-        let reply = match self.submit(self.opening()).await {
-            // The same begin again is answered as the first, if that one was applied.
-            Err(GroupError::Unknown { .. }) => self.submit(self.opening()).await,
+        self.reserve.set(self.reservation());
+        let reply = match self.submit(self.begin_command()).await {
+            // `Begin` is idempotent: if the first one was applied, the second gets the same reply.
+            Err(GroupError::Unknown { .. }) => self.submit(self.begin_command()).await,
             reply => reply,
         };
         match reply {
-            Ok(ProgramReply::Done(view)) => Ok(self.holds(view)),
-            Ok(ProgramReply::Stored(answer)) => Ok(Begun::Settled(answer)),
-            Ok(ProgramReply::InProgress(held)) => self.resume(held).await,
+            Ok(ProgramReply::Done(view)) => Ok(self.mark_begun(view)),
+            Ok(ProgramReply::Stored(answer)) => Ok(CallStart::Answered(answer)),
+            Ok(ProgramReply::InProgress(holder)) => self.resume_open_call(holder).await,
             Ok(ProgramReply::InDoubt(_)) => Err(programs::in_doubt()),
             Ok(ProgramReply::Refused(refusal)) => Err(refusal.into()),
-            Err(e) => self.not_begun(&e).await.map(Begun::Settled),
+            Err(e) => self.begin_failed(&e).await.map(CallStart::Answered),
         }
     }
 
-    /// Enough for a second attempt where the budget is known to hold it; another attempt is made only
-    /// within the reservation.
-    fn wanted_reserve(&self) -> u64 {
-        let cost = self.planned.cost;
-        let twice = cost.saturating_mul(2);
-        let known = self.entry.state.known.get(&self.planned.outgoing.program);
-        let left = known.map_or(0, |known| {
-            let view = known.view;
+    /// Tokens to reserve. Attempts are limited by the reservation, so it covers a retry if the budget is known
+    /// to allow that.
+    fn reservation(&self) -> u64 {
+        let cost = self.call.cost;
+        let with_retry = cost.saturating_mul(2);
+        let cached = self.server.state.recent.get(&self.call.outgoing.program);
+        let left = cached.map_or(0, |cached| {
+            let view = cached.view;
             view.spec.budget.saturating_sub(view.spent).saturating_sub(view.reserved)
         });
-        if left >= twice { twice } else { cost }
+        if left >= with_retry { with_retry } else { cost }
     }
 
-    fn opening(&self) -> ProgramCommand {
-        let out = &self.planned.outgoing;
+    fn begin_command(&self) -> ProgramCommand {
+        let outgoing = &self.call.outgoing;
         ProgramCommand::Begin {
-            program: out.program.clone(),
-            call: out.call,
-            key: out.key.clone(),
+            program: outgoing.program.clone(),
+            call: outgoing.call,
+            key: outgoing.key.clone(),
             attempt: self.attempt,
             reserve: self.reserve.get(),
-            repeatable: out.repeatable,
-            request: self.recorded(),
-            digest: self.planned.digest,
+            repeatable: outgoing.repeatable,
+            request: self.request_record(),
+            digest: self.call.digest,
         }
     }
 
-    /// The request as the history keeps it.
-    fn recorded(&self) -> Arc<[u8]> {
-        let known = self.entry.state.known.get(&self.planned.outgoing.program);
-        let base = known.and_then(|known| known.base);
-        let continued = self.planned.conversation.as_ref().zip(base);
-        let gained = continued.and_then(|(conversation, base)| conversation.since(&base));
-        gained.map_or_else(|| self.planned.request.clone(), Arc::from)
+    /// The request as the history stores it: only the new messages where it continues an earlier call.
+    fn request_record(&self) -> Arc<[u8]> {
+        let cached = self.server.state.recent.get(&self.call.outgoing.program);
+        let base = cached.and_then(|cached| cached.base);
+        let conversation = self.call.conversation.as_ref().zip(base);
+        let delta = conversation.and_then(|(conversation, base)| conversation.delta_from(&base));
+        delta.map_or_else(|| self.call.request.clone(), Arc::from)
     }
 
-    fn holds(&self, view: ProgramView) -> Begun {
+    fn mark_begun(&self, view: ProgramView) -> CallStart {
         self.begun.set(true);
-        Begun::New(view)
+        CallStart::Begun(view)
     }
 
-    /// The begin got no reply. Nothing was sent and nothing will be; a begin that may yet be applied is
-    /// taken back.
-    async fn not_begun(&self, e: &GroupError) -> Result<Answer, Problem> {
+    /// Handles a `Begin` without a reply. Nothing was sent; a `Begin` that may still be applied is undone with
+    /// `NotRun`.
+    async fn begin_failed(&self, e: &GroupError) -> Result<Answer, Problem> {
         if let GroupError::Unknown { .. } = e {
             self.end_attempt(Ending::NotRun).await;
         }
-        let problem = Problem::not_run(503, Reason::Ledger, format!("nothing was sent: {e}"));
-        self.refused(problem.retry_after(COMEBACK)).await
+        let problem = Problem::not_run(503, ProblemReason::Ledger, format!("nothing was sent: {e}"));
+        self.resolve_refusal(problem.retry_after(RETRY_AFTER)).await
     }
 
-    /// Nothing is done for the request. It gets its stored answer again, or the refusal. That it did not
-    /// run is told only where the ledger itself does not know the request, since it may be a resend of one
-    /// that another node ran.
-    pub(super) async fn refused(&self, problem: Problem) -> Result<Answer, Problem> {
-        match self.ask().await {
+    /// Refuses the request unless the ledger has an earlier one with the same key: the request may be a resend
+    /// of one that ran on another node. Without a reply of the ledger the outcome is unknown.
+    pub(super) async fn resolve_refusal(&self, problem: Problem) -> Result<Answer, Problem> {
+        match self.query_request().await {
             Ok(ProgramReply::Stored(answer)) => Ok(answer),
-            Ok(ProgramReply::InProgress(held)) if held == self.attempt => Err(problem),
+            Ok(ProgramReply::InProgress(holder)) if holder == self.attempt => Err(problem),
             Ok(ProgramReply::InProgress(_)) => Err(programs::in_progress()),
             Ok(ProgramReply::InDoubt(_)) => Err(programs::in_doubt()),
             Ok(_) => Err(problem),
             Err(e) => {
                 let detail = format!("{}; {e}", problem.detail).into();
-                Err(Problem { outcome: Told::Unknown, detail, ..problem })
+                Err(Problem { outcome: RunOutcome::Unknown, detail, ..problem })
             }
         }
     }
 
-    /// What the ledger knows of the request.
-    pub(super) async fn ask(&self) -> Result<ProgramReply, GroupError> {
-        let out = &self.planned.outgoing;
-        let query = ProgramQuery::Request(out.program.clone(), out.key.clone());
-        match self.entry.ledger.query(query).await? {
+    /// Looks up the key of the request in the ledger.
+    pub(super) async fn query_request(&self) -> Result<ProgramReply, GroupError> {
+        let outgoing = &self.call.outgoing;
+        let query = ProgramQuery::Request(outgoing.program.clone(), outgoing.key.clone());
+        match self.server.ledger.query(query).await? {
             QueryReply::One(reply) => Ok(reply),
             QueryReply::Many(_) => Ok(ProgramReply::Refused(Refusal::WrongState)),
         }
     }
 
-    /// The request was begun earlier and is open: goes on with it where its attempt is surely over.
-    async fn resume(&self, held: AttemptId) -> Result<Begun, Problem> {
-        if is_carried_on(self.entry, held) {
+    /// Handles a call that is open for another attempt. If that attempt has ended, a repeatable call is taken
+    /// over and any other is marked as unknown.
+    async fn resume_open_call(&self, holder: AttemptId) -> Result<CallStart, Problem> {
+        if may_still_run(self.server, holder) {
             return Err(programs::in_progress());
         }
-        let out = &self.planned.outgoing;
-        let (program, call) = (out.program.clone(), out.call);
-        if out.repeatable == Repeatable::No {
-            let command = ProgramCommand::Unknown { program, call, attempt: held };
-            let reply = self.submit(command).await.map_err(|e| programs::unanswered(&e))?;
+        let outgoing = &self.call.outgoing;
+        let (program, call) = (outgoing.program.clone(), outgoing.call);
+        if outgoing.repeatable == Repeatable::No {
+            let command = ProgramCommand::Unknown { program, call, attempt: holder };
+            let reply = self.submit(command).await.map_err(|e| programs::unknown_outcome(&e))?;
             return match reply {
-                ProgramReply::Stored(answer) => Ok(Begun::Settled(answer)),
+                ProgramReply::Stored(answer) => Ok(CallStart::Answered(answer)),
                 _ => Err(programs::in_doubt()),
             };
         }
-        let command = ProgramCommand::TakeOver { program, call, previous: held, attempt: self.attempt };
-        match self.submit(command).await.map_err(|e| programs::unanswered(&e))? {
-            ProgramReply::Done(view) => Ok(self.holds(view)),
-            ProgramReply::Stored(answer) => Ok(Begun::Settled(answer)),
+        let command = ProgramCommand::TakeOver { program, call, previous: holder, attempt: self.attempt };
+        match self.submit(command).await.map_err(|e| programs::unknown_outcome(&e))? {
+            ProgramReply::Done(view) => Ok(self.mark_begun(view)),
+            ProgramReply::Stored(answer) => Ok(CallStart::Answered(answer)),
             ProgramReply::InDoubt(_) => Err(programs::in_doubt()),
             ProgramReply::InProgress(_) | ProgramReply::Refused(_) => Err(programs::in_progress()),
         }
     }
 
-    /// The outermost program of which this one is a sub-agent, or the program itself.
-    pub(super) async fn root_of(&self, view: &ProgramView) -> ProgramId {
-        if let Some(known) = self.entry.state.known.get(&view.program) {
-            return known.root;
+    /// The outermost ancestor of a program, or the program itself.
+    pub(super) async fn root_program(&self, view: &ProgramView) -> ProgramId {
+        if let Some(cached) = self.server.state.recent.get(&view.program) {
+            return cached.root;
         }
         let mut root = view.program.clone();
-        let mut parent = view.spec.parent.clone();
-        for _ in 0..ROOT_DEPTH {
-            let Some(next) = parent else {
+        let mut next_parent = view.spec.parent.clone();
+        for _ in 0..MAX_PARENT_DEPTH {
+            let Some(parent) = next_parent else {
                 break;
             };
-            let reply = self.entry.ledger.query(ProgramQuery::Program(next.clone())).await;
-            parent = match reply {
+            let reply = self.server.ledger.query(ProgramQuery::Program(parent.clone())).await;
+            next_parent = match reply {
                 Ok(QueryReply::One(ProgramReply::Done(view))) => view.spec.parent,
                 _ => None,
             };
-            root = next;
+            root = parent;
         }
         root
     }
 }
 
-/// Whether somebody may still be working on an attempt. A node that is merely silent may be paused; its
-/// attempt is over for our purposes, since the ledger takes its word no more once it is replaced.
-fn is_carried_on(entry: &ApiServer, attempt: AttemptId) -> bool {
-    if attempt.node == entry.node {
-        let same = attempt.incarnation == entry.incarnation;
-        return same && entry.state.active.borrow().contains(&attempt);
+/// Whether an attempt may still be running. A silent node may only be paused, but its attempt counts as ended:
+/// once it is replaced, the ledger refuses commands of the old attempt.
+fn may_still_run(server: &ApiServer, attempt: AttemptId) -> bool {
+    if attempt.node == server.node {
+        let same_incarnation = attempt.incarnation == server.incarnation;
+        return same_incarnation && server.state.active.borrow().contains(&attempt);
     }
-    let members = entry.members.members();
+    let members = server.members.members();
     let holder = members.iter().find(|member| member.node == attempt.node);
-    holder.is_some_and(|member| member.incarnation == attempt.incarnation && &*member.state != SILENT)
+    holder.is_some_and(|member| member.incarnation == attempt.incarnation && &*member.state != SILENT_STATE)
 }
--- a/agatetrestle/src/entry/connection.rs
+++ b/agatetrestle/src/entry/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: requests in order, each answered before the next is taken.
+//! A caller's connection: requests are answered one after another, in order.
 
 use std::rc::Rc;
 
@@ -14,93 +14,93 @@
 
 use crate::attempts::timer::within;
 use crate::entry::ApiServer;
-use crate::entry::Counted;
-use crate::entry::guard::Guard;
+use crate::entry::InFlightGuard;
 use crate::entry::problem::Problem;
-use crate::entry::problem::Reason;
+use crate::entry::problem::ProblemReason;
+use crate::entry::request_reader::RequestReader;
 use crate::entry::routes;
 
-const WRITE_SIZE: usize = 16 << 10;
+const WRITE_BUFFER_BYTES: usize = 16 << 10;
 
-/// Most bytes read and thrown away after a refusal, so that the refusal arrives before the connection
-/// is reset.
-const DRAIN_LIMIT: usize = 256 << 10;
+/// Bytes read and discarded after a refusal, so that the caller gets the refusal before a reset.
+const MAX_DRAINED_BYTES: usize = 256 << 10;
 
-/// What a connection needs.
+/// Dependencies of a connection.
 #[derive(Clone)]
-pub struct Context {
-    /// The entry.
-    pub entry: Rc<ApiServer>,
-    /// Where tasks that outlive the connection run.
+pub struct ConnectionContext {
+    /// The API server.
+    pub server: Rc<ApiServer>,
+    /// Runs tasks that may outlive the connection.
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
-/// A connection counts towards the limit for as long as it lives.
-struct Place(Rc<ApiServer>);
+/// Counts a connection towards the limit until it is dropped.
+struct ConnectionGuard(Rc<ApiServer>);
 
-impl Drop for Place {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let count = &self.0.state.connections;
         count.set(count.get() - 1);
     }
 }
 
-/// Serves one connection to its end.
-pub async fn serve(cx: Context, mut stream: TcpStream) {
-    let entry = Rc::clone(&cx.entry);
-    let count = &entry.state.connections;
+/// Serves one connection until it closes.
+pub async fn serve(cx: ConnectionContext, mut stream: TcpStream) {
+    let server = Rc::clone(&cx.server);
+    let count = &server.state.connections;
     count.set(count.get() + 1);
-    let _place = Place(Rc::clone(&entry));
+    let _connection = ConnectionGuard(Rc::clone(&server));
     stream.set_nodelay(true).ok();
-    if count.get() > entry.limits.connections {
-        let problem = Problem::unknown(503, Reason::Connections, "too many connections; nothing was read");
-        refuse(&entry, &mut stream, &problem.retry_after(std::time::Duration::from_secs(1))).await;
+    if count.get() > server.limits.connections {
+        let problem =
+            Problem::unknown(503, ProblemReason::Connections, "too many connections; nothing was read");
+        refuse(&server, &mut stream, &problem.retry_after(std::time::Duration::from_secs(1))).await;
         return;
     }
-    let mut guard = Guard::new(stream.clone(), Rc::clone(&entry.timer), entry.limits.clone());
+    let mut reader = RequestReader::new(stream.clone(), Rc::clone(&server.timer), server.limits.clone());
     loop {
-        let request = match guard.next().await {
+        let request = match reader.next().await {
             Ok(Some(request)) => request,
             Ok(None) => return,
             Err(problem) => {
-                refuse(&entry, &mut stream, &problem).await;
+                refuse(&server, &mut stream, &problem).await;
                 return;
             }
         };
-        let _counted = Counted::new(&entry);
+        let _in_flight = InFlightGuard::new(&server);
         let method = request.method();
-        let asked_to_close = request.header("Connection").is_some_and(Close::contains_close);
-        let (here, gone) = channel::bounded(1);
-        let answering = async { Some(routes::answer(cx.clone(), request, gone).await) };
-        let Some(mut response) = or(answering, hung_up(&stream, guard.has_more())).await else {
+        let close_requested = request.header("Connection").is_some_and(HeaderValuesExt::contains_close);
+        let (connected, disconnected) = channel::bounded(1);
+        let answering = async { Some(routes::answer(cx.clone(), request, disconnected).await) };
+        let Some(mut response) = or(answering, wait_for_disconnect(&stream, reader.has_more())).await else {
             return;
         };
-        let close = asked_to_close || entry.stopping.get();
+        let close = close_requested || server.stopping.get();
         if close {
             response.insert_header("Connection", "close");
         }
-        let writing = async { Some(write(&entry, &mut stream.clone(), response, method).await) };
-        let written = or(writing, hung_up(&stream, guard.has_more())).await;
-        drop(here);
+        let writing = async { Some(write(&server, &mut stream.clone(), response, method).await) };
+        let written = or(writing, wait_for_disconnect(&stream, reader.has_more())).await;
+        drop(connected);
         if written != Some(true) || close {
             return;
         }
     }
 }
 
-/// Completes once the caller has closed its side. With bytes of a further request waiting this can't be
-/// seen, and the failing write tells instead.
-async fn hung_up<T>(stream: &TcpStream, has_more: bool) -> Option<T> {
+/// Completes with none once the caller has closed its side. That can't be detected while a pipelined request
+/// is buffered; a failed write then detects it.
+async fn wait_for_disconnect<T>(stream: &TcpStream, has_more: bool) -> Option<T> {
     if !has_more && matches!(stream.peek(&mut [0]).await, Ok(0) | Err(_)) {
         return None;
     }
     std::future::pending().await
 }
 
-/// Writes a response as it comes; false where the caller does not take it in.
-async fn write(entry: &ApiServer, stream: &mut TcpStream, response: Response, method: Method) -> bool {
+/// Writes a response as its body becomes available; false if the caller stops reading or the body fails.
+async fn write(server: &ApiServer, stream: &mut TcpStream, response: Response, method: Method) -> bool {
     let mut encoder = Encoder::new(response, method);
-    let mut buf = vec![0; WRITE_SIZE];
+    let mut buf = vec![0; WRITE_BUFFER_BYTES];
     loop {
         let Ok(count) = encoder.read(&mut buf).await else {
             return false;
@@ -109,38 +109,38 @@
             return true;
         }
         let writing = stream.write_all(&buf[..count]);
-        if !matches!(within(&*entry.timer, entry.limits.idle, writing).await, Some(Ok(()))) {
+        if !matches!(within(&*server.timer, server.limits.idle, writing).await, Some(Ok(()))) {
             return false;
         }
     }
 }
 
-/// Sends a refusal and closes. What the caller is still sending is read for a bounded while.
-async fn refuse(entry: &ApiServer, stream: &mut TcpStream, problem: &Problem) {
+/// Sends a refusal and closes the connection after draining a bounded amount of what the caller still sends.
+async fn refuse(server: &ApiServer, stream: &mut TcpStream, problem: &Problem) {
     let mut response = problem.response();
     response.insert_header("Connection", "close");
-    if !write(entry, stream, response, Method::Get).await {
+    if !write(server, stream, response, Method::Get).await {
         return;
     }
     stream.shutdown(std::net::Shutdown::Write).ok();
     let draining = async {
-        let mut buf = vec![0; WRITE_SIZE];
+        let mut buf = vec![0; WRITE_BUFFER_BYTES];
         let mut drained = 0;
-        while drained < DRAIN_LIMIT {
+        while drained < MAX_DRAINED_BYTES {
             match stream.read(&mut buf).await {
                 Ok(count) if count > 0 => drained += count,
                 _ => return,
             }
         }
     };
-    within(&*entry.timer, entry.limits.head_time, draining).await;
+    within(&*server.timer, server.limits.head_time, draining).await;
 }
 
-trait Close {
+trait HeaderValuesExt {
     fn contains_close(&self) -> bool;
 }
 
-impl Close for http_types::headers::HeaderValues {
+impl HeaderValuesExt for http_types::headers::HeaderValues {
     fn contains_close(&self) -> bool {
         self.as_str().split(',').any(|token| token.trim().eq_ignore_ascii_case("close"))
     }
--- a/agatetrestle/src/entry/mod.rs
+++ b/agatetrestle/src/entry/mod.rs
@@ -1,20 +1,20 @@
-//! HTTP/1.1 for callers: addresses, programs, model calls, service calls and stored answers.
+//! HTTP/1.1 API for callers: addresses, programs, model calls, service calls and stored answers.
 //!
-//! Every refusal is `application/problem+json` with `outcome` (`not_run` or `unknown`), a `reason`
-//! of [`problem::Reason`] and, where coming back makes sense, `Retry-After`. The ledger decides what may
-//! be sent and what is answered again; see docs/design/002-ledger-and-at-most-once.md. How callers
-//! find a node without a balancer is told in docs/design/010-addresses-without-a-balancer.md.
+//! Every refusal is `application/problem+json` with an `outcome` (`not_run` or `unknown`), a `reason` of
+//! [`problem::ProblemReason`] and, where a retry makes sense, `Retry-After`. The ledger decides what may be
+//! sent and which requests get a stored answer; see docs/design/002-ledger-and-at-most-once.md. How callers
+//! find a node without a balancer is described in docs/design/010-addresses-without-a-balancer.md.
 
 mod begin;
+pub mod call_task;
 pub mod calls;
-pub mod carry;
 pub mod connection;
-pub mod declared;
-pub mod guard;
-pub mod known;
+pub mod declarations;
 pub mod problem;
 pub mod programs;
-pub mod record;
+pub mod recent_programs;
+pub mod request_delta;
+pub mod request_reader;
 pub mod routes;
 pub mod settle;
 
@@ -37,50 +37,53 @@
 use crate::ports::Members;
 use crate::ports::Recorder;
 
-/// Everything the entry needs from the rest of the node.
+/// Delay after a failed accept, so that running out of file descriptors does not cause a busy loop.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
+
+/// The API server with its dependencies.
 pub struct ApiServer {
-    /// The ledger of all programs.
+    /// Commits commands to the ledger and answers queries from it.
     pub ledger: Rc<dyn Ledger>,
     /// The control group, for the declarations in force.
     pub control: Rc<dyn Control>,
-    /// The members, for address answers and to judge another node's open attempts.
+    /// The members, for address answers and to check whether another node's attempt is still running.
     pub members: Rc<dyn Members>,
-    /// Where calls are sent from.
+    /// Schedules calls and sends them to backend servers.
     pub dispatcher: Rc<Dispatcher>,
-    /// Takes in measures.
+    /// Receives metrics.
     pub recorder: Rc<dyn Recorder>,
-    /// Wakes tasks after a time.
+    /// Drives timeouts and delays.
     pub timer: Rc<dyn Timer>,
     /// The process's clock.
     pub clock: Clock,
     /// This node.
     pub node: NodeId,
-    /// Its incarnation.
+    /// Incarnation of this node.
     pub incarnation: u64,
-    /// Bounds on what callers may send.
+    /// Limits on connections and requests.
     pub limits: Callers,
-    /// Set once the node is about to stop: new work is refused, what is in flight goes on.
+    /// Set during shutdown: new work is refused, requests in flight are completed.
     pub stopping: Rc<Cell<bool>>,
-    /// What the entry itself keeps; start with the default.
+    /// Internal state; starts as the default.
     pub state: RuntimeState,
 }
 
-/// Soft state of the entry; losing it loses nothing durable.
+/// State in memory that a restart may lose.
 #[derive(Default)]
 pub struct RuntimeState {
     in_flight: Cell<usize>,
     connections: Cell<u32>,
     last_attempt: Cell<u64>,
     active: RefCell<HashSet<AttemptId>>,
-    known: known::KnownPrograms,
-    declared: declared::Cache,
+    recent: recent_programs::RecentPrograms,
+    declarations: declarations::DeclarationCache,
 }
 
-/// Counts something for as long as it lives.
-struct Counted(Rc<ApiServer>);
+/// Counts a request as in flight until it is dropped.
+struct InFlightGuard(Rc<ApiServer>);
 
 impl ApiServer {
-    /// Requests that were taken and are not yet settled, their last byte included.
+    /// Number of requests whose response is not fully written or whose call is not settled.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.state.in_flight.get()
@@ -93,36 +96,34 @@
     }
 }
 
-impl Counted {
-    fn new(entry: &Rc<ApiServer>) -> Self {
-        let count = &entry.state.in_flight;
+impl InFlightGuard {
+    fn new(server: &Rc<ApiServer>) -> Self {
+        let count = &server.state.in_flight;
         count.set(count.get() + 1);
-        Self(Rc::clone(entry))
+        Self(Rc::clone(server))
     }
 }
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let count = &self.0.state.in_flight;
         count.set(count.get() - 1);
     }
 }
 
-/// Serves callers until the task is dropped. Each connection is a task of its own on `executor`.
-pub async fn serve(entry: Rc<ApiServer>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
+/// Accepts callers' connections until the future is dropped. Each connection is a task of its own on
+/// `executor`.
+pub async fn serve(server: Rc<ApiServer>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!("A connection could not be accepted: {e}.");
-                entry.timer.after(ACCEPT_PAUSE).await;
+                log::warn!("Accepting a caller's connection failed: {e}.");
+                server.timer.after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let cx = connection::Context { entry: Rc::clone(&entry), executor: Rc::clone(&executor) };
+        let cx = connection::ConnectionContext { server: Rc::clone(&server), executor: Rc::clone(&executor) };
         executor.spawn(connection::serve(cx, stream)).detach();
     }
 }
-
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
--- a/agatetrestle/src/entry/problem.rs
+++ b/agatetrestle/src/entry/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as callers see them.
+//! Refusals and errors as problem details (RFC 9457).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,22 +13,22 @@
 use crate::scheduler::event::RefusalReason;
 
 /// Media type of a refusal.
-pub const MEDIA_TYPE: &str = "application/problem+json";
+pub const PROBLEM_MEDIA_TYPE: &str = "application/problem+json";
 
-/// What is true of the request that was refused.
+/// Whether a refused request ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Told {
-    /// It did not run, and will not on account of this request.
+pub enum RunOutcome {
+    /// It did not run and will not run.
     NotRun,
-    /// It may have run, or may yet have an answer.
+    /// It may have run, or may still be running.
     Unknown,
 }
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum ProblemReason {
     /// The request is malformed.
     Malformed,
     /// The head is too large.
@@ -37,93 +37,93 @@
     BodyTooLarge,
     /// The request did not arrive in time.
     TooSlow,
-    /// A body without `Content-Length`.
+    /// The body has no `Content-Length`.
     LengthRequired,
-    /// An expectation that is not met.
+    /// The `Expect` header is not supported.
     Expectation,
     /// No such path.
     NotFound,
-    /// The path does not take this method.
+    /// The path does not support this method.
     Method,
     /// `Idempotency-Key` is missing or unusable.
     Key,
     /// The partner, team or class is not declared.
     Undeclared,
-    /// The model or service is not declared, or nothing serves it.
+    /// The model or service is not declared, or no backend server serves it.
     NoBackend,
-    /// There is no such program.
+    /// The program does not exist.
     NoProgram,
     /// A program of this name exists with another specification.
     Exists,
     /// The program has ended.
     Ended,
-    /// Calls must come in order.
+    /// The call does not have the next number.
     OutOfOrder,
-    /// An earlier call is open or in doubt.
+    /// An earlier call is still open.
     CallOpen,
-    /// The budget does not allow it.
+    /// The budget is too small.
     Budget,
-    /// The program has made as many calls as it may.
+    /// The program has reached its limit on calls.
     Turns,
     /// The key was used for another request.
     KeyReused,
-    /// Sub-agents are still live.
+    /// Sub-agents have not ended.
     Children,
-    /// The ledger is in another state than this allows.
+    /// The state of the call does not allow the request.
     WrongState,
-    /// The request is being worked on.
+    /// Another attempt of the request is running.
     InProgress,
-    /// Nobody can tell whether the request ran; an operator can find out.
+    /// It is unknown whether the request ran; an operator can resolve it.
     InDoubt,
-    /// Too much work.
+    /// The scheduler is overloaded.
     Overload,
     /// The deadline can't be met.
     Deadline,
-    /// The program repeats itself beyond what the rules allow.
+    /// The program repeated the same call too often.
     Runaway,
     /// No backend server could be reached.
     Unreachable,
-    /// The backend server gave no whole answer.
+    /// The backend server did not return a complete answer.
     Lost,
-    /// The stream broke off; ask again with the same key for the whole answer.
+    /// The stream was interrupted; a retry with the same key gets the whole answer.
     BrokeOff,
-    /// No quorum took the command.
+    /// The ledger did not commit or reply.
     Ledger,
-    /// The node has just started.
+    /// The node is starting.
     Starting,
-    /// The node is cut off from the control group.
+    /// The node has lost contact with the control group.
     Isolated,
-    /// The node is about to stop.
+    /// The node is stopping.
     Stopping,
-    /// Too many connections.
+    /// The limit on connections is reached.
     Connections,
 }
 
-/// One refusal.
+/// A refusal with everything that its response contains.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Problem {
     /// HTTP status.
     pub status: u16,
-    /// What is true of the request.
-    pub outcome: Told,
-    /// Why.
-    pub reason: Reason,
-    /// For people.
+    /// Whether the request ran.
+    pub outcome: RunOutcome,
+    /// Machine-readable reason.
+    pub reason: ProblemReason,
+    /// Human-readable explanation.
     pub detail: Arc<str>,
-    /// When the caller may come back.
+    /// Delay before a retry makes sense.
     pub retry_after: Option<Duration>,
-    /// The number that the next call must have, where that is the matter.
+    /// The expected call number, for calls out of order.
     pub next_call: Option<CallNumber>,
 }
 
 #[derive(Serialize)]
-struct Form<'a> {
+struct ProblemBody<'a> {
     r#type: &'static str,
-    title: Reason,
+    title: ProblemReason,
     status: u16,
     detail: &'a str,
-    outcome: Told,
-    reason: Reason,
+    outcome: RunOutcome,
+    reason: ProblemReason,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -131,12 +131,12 @@
 }
 
 impl Problem {
-    /// A refusal of a request that did not run.
+    /// Refuses a request that did not run.
     #[must_use]
-    pub fn not_run(status: u16, reason: Reason, detail: impl Into<Arc<str>>) -> Self {
+    pub fn not_run(status: u16, reason: ProblemReason, detail: impl Into<Arc<str>>) -> Self {
         Self {
             status,
-            outcome: Told::NotRun,
+            outcome: RunOutcome::NotRun,
             reason,
             detail: detail.into(),
             retry_after: None,
@@ -144,66 +144,68 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Refuses a request that may have run.
     #[must_use]
-    pub fn unknown(status: u16, reason: Reason, detail: impl Into<Arc<str>>) -> Self {
-        Self { outcome: Told::Unknown, ..Self::not_run(status, reason, detail) }
+    pub fn unknown(status: u16, reason: ProblemReason, detail: impl Into<Arc<str>>) -> Self {
+        Self { outcome: RunOutcome::Unknown, ..Self::not_run(status, reason, detail) }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the delay before a retry.
     #[must_use]
-    pub fn retry_after(self, span: Duration) -> Self {
-        Self { retry_after: Some(span), ..self }
+    pub fn retry_after(self, delay: Duration) -> Self {
+        Self { retry_after: Some(delay), ..self }
     }
 
-    /// The body.
+    /// The JSON body of the response.
     #[must_use]
     pub fn json(&self) -> Vec<u8> {
-        let form = Form {
+        let body = ProblemBody {
             r#type: "about:blank",
             title: self.reason,
             status: self.status,
             detail: &self.detail,
             outcome: self.outcome,
             reason: self.reason,
-            retry_after_ms: self.retry_after.map(|s| u64::try_from(s.as_millis()).unwrap_or(u64::MAX)),
+            retry_after_ms: self
+                .retry_after
+                .map(|delay| u64::try_from(delay.as_millis()).unwrap_or(u64::MAX)),
             next_call: self.next_call,
         };
-        serde_json::to_vec(&form).unwrap_or_default()
+        serde_json::to_vec(&body).unwrap_or_default()
     }
 
-    /// The whole answer.
+    /// The HTTP response.
     #[must_use]
     pub fn response(&self) -> Response {
         let status = StatusCode::try_from(self.status).unwrap_or(StatusCode::InternalServerError);
         let mut response = Response::new(status);
         response.set_body(self.json());
-        response.insert_header("Content-Type", MEDIA_TYPE);
-        if let Some(span) = self.retry_after {
-            let seconds = span.as_millis().div_ceil(1000).max(1);
+        response.insert_header("Content-Type", PROBLEM_MEDIA_TYPE);
+        if let Some(delay) = self.retry_after {
+            let seconds = delay.as_millis().div_ceil(1000).max(1);
             response.insert_header("Retry-After", seconds.to_string());
         }
         response
     }
 
-    /// The refusal as the last event of a stream that can't be completed.
+    /// The server-sent event that ends an interrupted stream.
     #[must_use]
-    pub fn event(&self) -> Vec<u8> {
+    pub fn stream_event(&self) -> Vec<u8> {
         let mut event = b"event: error\ndata: ".to_vec();
         event.extend(self.json());
         event.extend(b"\n\n");
         event
     }
 
-    /// Name of the reason, for measures.
+    /// Name of the reason, for metrics.
     #[must_use]
     pub fn label(&self) -> &'static str {
         self.reason.label()
     }
 }
 
-impl Reason {
-    /// Its name as callers see it.
+impl ProblemReason {
+    /// Name of the reason in responses and metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -246,38 +248,47 @@
 }
 
 impl From<NotTaking> for Problem {
-    fn from(why: NotTaking) -> Self {
-        let reason = match why {
-            NotTaking::Starting => Reason::Starting,
-            NotTaking::Isolated => Reason::Isolated,
-            NotTaking::Stopping => Reason::Stopping,
+    fn from(cause: NotTaking) -> Self {
+        let reason = match cause {
+            NotTaking::Starting => ProblemReason::Starting,
+            NotTaking::Isolated => ProblemReason::Isolated,
+            NotTaking::Stopping => ProblemReason::Stopping,
         };
-        Self::not_run(503, reason, why.to_string()).retry_after(Duration::from_secs(1))
+        Self::not_run(503, reason, cause.to_string()).retry_after(Duration::from_secs(1))
     }
 }
 
 impl From<Refusal> for Problem {
     fn from(refusal: Refusal) -> Self {
-        let (status, reason, detail): (u16, Reason, Arc<str>) = match &refusal {
-            Refusal::NoProgram => (404, Reason::NoProgram, "there is no such program".into()),
-            Refusal::Exists => (409, Reason::Exists, "a program of this name exists already".into()),
-            Refusal::Ended => (409, Reason::Ended, "the program has ended".into()),
+        let (status, reason, detail): (u16, ProblemReason, Arc<str>) = match &refusal {
+            Refusal::NoProgram => (404, ProblemReason::NoProgram, "there is no such program".into()),
+            Refusal::Exists => (409, ProblemReason::Exists, "a program of this name exists already".into()),
+            Refusal::Ended => (409, ProblemReason::Ended, "the program has ended".into()),
             Refusal::OutOfOrder { next } => {
-                (409, Reason::OutOfOrder, format!("the next call has number {}", next.0).into())
+                (409, ProblemReason::OutOfOrder, format!("the next call has number {}", next.0).into())
             }
             Refusal::CallOpen { call } => {
-                (409, Reason::CallOpen, format!("call {} is open or in doubt", call.0).into())
+                (409, ProblemReason::CallOpen, format!("call {} is open or in doubt", call.0).into())
             }
-            Refusal::Budget { left } => (409, Reason::Budget, format!("{left} tokens are left").into()),
-            Refusal::Turns => (409, Reason::Turns, "the program may make no further call".into()),
-            Refusal::KeyReused => (422, Reason::KeyReused, "the key was used for another request".into()),
-            Refusal::NotYourAttempt => (409, Reason::WrongState, "another attempt holds the call".into()),
-            Refusal::WrongState => (409, Reason::WrongState, "the call does not allow this now".into()),
-            Refusal::Children => (409, Reason::Children, "sub-agents are still live".into()),
-            // The call ran; only its answer can't be read here, so this is no "not run".
+            Refusal::Budget { left } => {
+                (409, ProblemReason::Budget, format!("{left} tokens are left").into())
+            }
+            Refusal::Turns => (409, ProblemReason::Turns, "the program may make no further call".into()),
+            Refusal::KeyReused => {
+                (422, ProblemReason::KeyReused, "the key was used for another request".into())
+            }
+            Refusal::NotYourAttempt => {
+                (409, ProblemReason::WrongState, "another attempt holds the call".into())
+            }
+            Refusal::WrongState => {
+                (409, ProblemReason::WrongState, "the call does not allow this now".into())
+            }
+            Refusal::Children => (409, ProblemReason::Children, "sub-agents are still live".into()),
+            // The call ran and only its answer can't be read, so the outcome must not be `not_run`.
             Refusal::HistoryUnreadable => {
                 let detail = "the stored answer can't be read on this replica";
-                return Self::unknown(503, Reason::WrongState, detail).retry_after(Duration::from_secs(1));
+                return Self::unknown(503, ProblemReason::WrongState, detail)
+                    .retry_after(Duration::from_secs(1));
             }
         };
         let next_call = match refusal {
@@ -288,7 +299,7 @@
     }
 }
 
-impl From<RefusalReason> for Reason {
+impl From<RefusalReason> for ProblemReason {
     fn from(reason: RefusalReason) -> Self {
         match reason {
             RefusalReason::NoBackend => Self::NoBackend,
--- a/agatetrestle/src/entry/programs.rs
+++ b/agatetrestle/src/entry/programs.rs
@@ -1,4 +1,4 @@
-//! Addresses, opening and ending programs, and answers asked for again.
+//! Handlers for caller addresses, for opening and ending programs and for stored answers.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 
 use crate::entry::ApiServer;
 use crate::entry::problem::Problem;
-use crate::entry::problem::Reason;
-use crate::entry::problem::Told;
+use crate::entry::problem::ProblemReason;
+use crate::entry::problem::RunOutcome;
 use crate::entry::routes;
 use crate::ids::ProgramId;
 use crate::ids::RequestKey;
@@ -31,8 +31,8 @@
 use crate::programs::command::QueryReply;
 use crate::programs::command::Refusal;
 
-/// When a caller may ask again for an answer that is being worked on.
-pub const COMEBACK: Duration = Duration::from_secs(1);
+/// `Retry-After` of refusals that are likely to clear soon.
+pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Serialize)]
 struct Addresses {
@@ -52,7 +52,7 @@
 }
 
 #[derive(Serialize)]
-struct View<'a> {
+struct ProgramBody<'a> {
     program: String,
     partner: &'a str,
     team: &'a str,
@@ -66,68 +66,68 @@
     ended: bool,
 }
 
-/// Tells a caller where to connect.
+/// Lists the caller addresses of nodes, for one program or in general.
 ///
 /// # Errors
 ///
-/// Refuses a malformed program name.
-pub fn addresses(entry: &ApiServer, request: &Request) -> Result<Response, Problem> {
-    let program = match routes::query(request, "program") {
-        Some(text) => Some(routes::program(Some(&text))?),
+/// Fails if the program name is malformed.
+pub fn addresses(server: &ApiServer, request: &Request) -> Result<Response, Problem> {
+    let program = match routes::query_value(request, "program") {
+        Some(text) => Some(routes::parse_program(Some(&text))?),
         None => None,
     };
-    let age = entry.limits.address_max_age;
-    let answer = Addresses {
-        addresses: entry.members.addresses(program.as_ref()),
-        max_age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
+    let max_age = server.limits.address_max_age;
+    let body = Addresses {
+        addresses: server.members.addresses(program.as_ref()),
+        max_age_ms: u64::try_from(max_age.as_millis()).unwrap_or(u64::MAX),
     };
-    let mut response = json(StatusCode::Ok, &answer);
-    response.insert_header("Cache-Control", format!("max-age={}", age.as_secs()));
+    let mut response = json_response(StatusCode::Ok, &body);
+    response.insert_header("Cache-Control", format!("max-age={}", max_age.as_secs()));
     Ok(response)
 }
 
-/// Opens a program; a resend with the same key is answered as the first.
+/// Opens a program. A resend with the same key gets the same answer.
 ///
 /// # Errors
 ///
-/// Refuses what the declarations in force or the ledger don't allow.
-pub async fn open(entry: &Rc<ApiServer>, mut request: Request) -> Result<Response, Problem> {
-    let key = routes::key(&request)?;
+/// Fails if the request is malformed, or refused by the declarations in force or by the ledger.
+pub async fn open(server: &Rc<ApiServer>, mut request: Request) -> Result<Response, Problem> {
+    let key = routes::idempotency_key(&request)?;
     let body = request.body_bytes().await.map_err(|e| routes::malformed(e.to_string()))?;
     let opening: Opening = serde_json::from_slice(&body).map_err(|e| routes::malformed(e.to_string()))?;
     let labels = Labels { partner: opening.partner.clone(), class: opening.class.clone() };
     let command =
-        prepare(entry, &opening, key).map_err(|problem| routes::counted(entry, &labels, problem))?;
-    if let Err(problem) = routes::taking_work(entry) {
-        let refusal = opened_before(entry, command.program()).await.err();
-        let told = refusal.map(|outcome| Problem { outcome, ..problem });
-        told.map_or(Ok(()), |problem| Err(routes::counted(entry, &labels, problem)))?;
+        prepare(server, &opening, key).map_err(|problem| routes::record_refusal(server, &labels, problem))?;
+    if let Err(problem) = routes::require_accepting_work(server) {
+        let outcome = check_opened(server, command.program()).await.err();
+        let refusal = outcome.map(|outcome| Problem { outcome, ..problem });
+        refusal.map_or(Ok(()), |problem| Err(routes::record_refusal(server, &labels, problem)))?;
     }
-    let reply = entry.ledger.commit(command).await;
-    let view = done(reply).map_err(|problem| routes::counted(entry, &labels, problem))?;
+    let reply = server.ledger.commit(command).await;
+    let view = expect_view(reply).map_err(|problem| routes::record_refusal(server, &labels, problem))?;
     if view.spec.parent.is_none() {
-        entry.state.known.learn(&view, view.program.clone());
+        server.state.recent.insert(&view, view.program.clone());
     }
-    Ok(json(StatusCode::Created, &form(&view)))
+    Ok(json_response(StatusCode::Created, &program_body(&view)))
 }
 
-fn prepare(entry: &ApiServer, opening: &Opening, key: RequestKey) -> Result<ProgramCommand, Problem> {
-    let declared = entry.state.declared.of(&entry.control.configuration());
+fn prepare(server: &ApiServer, opening: &Opening, key: RequestKey) -> Result<ProgramCommand, Problem> {
+    let declared = server.state.declarations.get(&server.control.configuration());
     let class = declared.class(&opening.partner, &opening.team, &opening.class)?;
     let budget = opening.budget.unwrap_or(class.budget);
     if budget > class.budget {
         let detail = format!("the class allows at most {} tokens", class.budget);
-        return Err(Problem::not_run(422, Reason::Budget, detail));
+        return Err(Problem::not_run(422, ProblemReason::Budget, detail));
     }
     let parent = match &opening.parent {
-        Some(text) => Some(routes::program(Some(text))?),
+        Some(text) => Some(routes::parse_program(Some(text))?),
         None => None,
     };
     if parent.as_ref().is_some_and(|parent| parent.partner != opening.partner) {
-        return Err(Problem::not_run(422, Reason::Undeclared, "a parent must be of the same partner"));
+        return Err(Problem::not_run(422, ProblemReason::Undeclared, "a parent must be of the same partner"));
     }
-    let name = opening.name.clone().unwrap_or_else(|| name_from(&key));
-    let program = routes::program(Some(&format!("{}/{name}", opening.partner)))?;
+    let name = opening.name.clone().unwrap_or_else(|| name_for_key(&key));
+    let program = routes::parse_program(Some(&format!("{}/{name}", opening.partner)))?;
     let spec = ProgramSpec {
         team: opening.team.clone(),
         class: opening.class.clone(),
@@ -135,79 +135,79 @@
         turns: class.turns,
         parent,
     };
-    Ok(ProgramCommand::Open { program, key, spec, at: wall_clock() })
+    Ok(ProgramCommand::Open { program, key, spec, at: unix_millis() })
 }
 
-/// A node that takes no new work still answers a resend: the ledger gives the first answer again. If the
-/// program does not exist the opening did not run, and without the ledger's word nobody can say.
-async fn opened_before(entry: &ApiServer, program: &ProgramId) -> Result<(), Told> {
-    match entry.ledger.query(ProgramQuery::Program(program.clone())).await {
+/// Checks whether the program exists, since a node that accepts no new work still answers a resend. Fails with
+/// `Unknown` if the ledger does not reply.
+async fn check_opened(server: &ApiServer, program: &ProgramId) -> Result<(), RunOutcome> {
+    match server.ledger.query(ProgramQuery::Program(program.clone())).await {
         Ok(QueryReply::One(ProgramReply::Done(_))) => Ok(()),
-        Ok(_) => Err(Told::NotRun),
-        Err(_) => Err(Told::Unknown),
+        Ok(_) => Err(RunOutcome::NotRun),
+        Err(_) => Err(RunOutcome::Unknown),
     }
 }
 
-/// A resend on any node must mean the same program, so that the name follows from the key.
-fn name_from(key: &RequestKey) -> Arc<str> {
+/// Derives a program's name from the key, so that a resend to any node names the same program.
+fn name_for_key(key: &RequestKey) -> Arc<str> {
     format!("p-{:032x}", xxh3_128(key.0.as_bytes())).into()
 }
 
 /// Wall-clock milliseconds since 1970.
 #[must_use]
-pub fn wall_clock() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+pub fn unix_millis() -> u64 {
+    let elapsed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Ends a program.
 ///
 /// # Errors
 ///
-/// Refuses what the ledger refuses.
-pub async fn end(entry: &Rc<ApiServer>, request: &Request) -> Result<Response, Problem> {
-    let program = routes::program_in_query(request)?;
-    let reply = entry.ledger.commit(ProgramCommand::End { program: program.clone() }).await;
-    let view = done(reply)?;
-    measure_end(entry, &view);
-    entry.dispatcher.step(crate::scheduler::event::Event::Ended(program));
-    Ok(json(StatusCode::Ok, &form(&view)))
+/// Fails if the program name is malformed, or if the ledger refuses or does not reply.
+pub async fn end(server: &Rc<ApiServer>, request: &Request) -> Result<Response, Problem> {
+    let program = routes::program_from_query(request)?;
+    let reply = server.ledger.commit(ProgramCommand::End { program: program.clone() }).await;
+    let view = expect_view(reply)?;
+    record_latency(server, &view);
+    server.dispatcher.step(crate::scheduler::event::Event::Ended(program));
+    Ok(json_response(StatusCode::Ok, &program_body(&view)))
 }
 
-/// Records the latency of a program that has ended, from its opening to its final answer; where another node
-/// gave that answer, to its end.
-fn measure_end(entry: &ApiServer, view: &ProgramView) {
-    let known = entry.state.known.forget(&view.program);
-    let answered_at = known.map_or(0, |known| known.answered_at);
-    let until = if answered_at > 0 { answered_at } else { wall_clock() };
-    let latency = Duration::from_millis(until.saturating_sub(view.opened_at));
+/// Records the latency of an ended program, from its opening to its last answer on this node or, without one,
+/// to its end.
+fn record_latency(server: &ApiServer, view: &ProgramView) {
+    let cached = server.state.recent.remove(&view.program);
+    let answered_at = cached.map_or(0, |cached| cached.answered_at);
+    let finished_at = if answered_at > 0 { answered_at } else { unix_millis() };
+    let latency = Duration::from_millis(finished_at.saturating_sub(view.opened_at));
     let labels = Labels { partner: view.program.partner.clone(), class: view.spec.class.clone() };
-    entry.recorder.record(&labels, &Measure::ProgramLatency(latency));
+    server.recorder.record(&labels, &Measure::ProgramLatency(latency));
 }
 
-/// Gives a stored answer again.
+/// Returns the stored answer to an earlier request.
 ///
 /// # Errors
 ///
-/// Refuses where there is none, or none yet.
-pub async fn stored(entry: &Rc<ApiServer>, request: &Request) -> Result<Response, Problem> {
-    let program = routes::program_in_query(request)?;
-    let key = routes::usable_key(&routes::query(request, "key").unwrap_or_default())?;
-    let reply = entry.ledger.query(ProgramQuery::Request(program, key)).await;
-    match reply.map_err(|e| unanswered(&e))? {
-        QueryReply::One(ProgramReply::Stored(answer)) => Ok(give_again(&answer)),
+/// Fails if there is no answer or the ledger does not reply.
+pub async fn stored_answer(server: &Rc<ApiServer>, request: &Request) -> Result<Response, Problem> {
+    let program = routes::program_from_query(request)?;
+    let key = routes::parse_key(&routes::query_value(request, "key").unwrap_or_default())?;
+    let reply = server.ledger.query(ProgramQuery::Request(program, key)).await;
+    match reply.map_err(|e| unknown_outcome(&e))? {
+        QueryReply::One(ProgramReply::Stored(answer)) => Ok(answer_response(&answer)),
         QueryReply::One(ProgramReply::InProgress(_)) => Err(in_progress()),
         QueryReply::One(ProgramReply::InDoubt(_)) => Err(in_doubt()),
         QueryReply::One(ProgramReply::Refused(Refusal::NoProgram)) => Err(Refusal::NoProgram.into()),
         QueryReply::One(_) | QueryReply::Many(_) => {
-            Err(Problem::not_run(404, Reason::NotFound, "no request with this key was begun"))
+            Err(Problem::not_run(404, ProblemReason::NotFound, "no request with this key was begun"))
         }
     }
 }
 
 /// The response for a stored answer.
 #[must_use]
-pub fn give_again(answer: &Answer) -> Response {
+pub fn answer_response(answer: &Answer) -> Response {
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::Ok);
     let mut response = Response::new(status);
     response.set_body(answer.body.to_vec());
@@ -217,40 +217,40 @@
     response
 }
 
-/// The refusal where the request is being worked on.
+/// The refusal while another attempt of the request is running.
 #[must_use]
 pub fn in_progress() -> Problem {
     let detail = "the request is being worked on; ask again with the same key";
-    Problem::unknown(409, Reason::InProgress, detail).retry_after(COMEBACK)
+    Problem::unknown(409, ProblemReason::InProgress, detail).retry_after(RETRY_AFTER)
 }
 
-/// The refusal where nobody can tell whether the request ran.
+/// The refusal when it is unknown whether the request ran.
 #[must_use]
 pub fn in_doubt() -> Problem {
     let detail =
         "nobody can tell whether the request ran; it is not sent again, and an operator can settle it";
-    Problem::unknown(409, Reason::InDoubt, detail)
+    Problem::unknown(409, ProblemReason::InDoubt, detail)
 }
 
-/// The refusal where a query got no reply.
+/// The refusal when the ledger did not reply, so that the outcome of the request is unknown.
 #[must_use]
-pub fn unanswered(e: &GroupError) -> Problem {
-    Problem::unknown(503, Reason::Ledger, e.to_string()).retry_after(COMEBACK)
+pub fn unknown_outcome(e: &GroupError) -> Problem {
+    Problem::unknown(503, ProblemReason::Ledger, e.to_string()).retry_after(RETRY_AFTER)
 }
 
-/// The refusal where a command got no reply.
+/// The refusal when a command got no reply; the request did not run if the command was never proposed.
 #[must_use]
-pub fn uncommitted(e: &GroupError) -> Problem {
+pub fn commit_problem(e: &GroupError) -> Problem {
     match e {
         GroupError::NotProposed { .. } => {
-            Problem::not_run(503, Reason::Ledger, e.to_string()).retry_after(COMEBACK)
+            Problem::not_run(503, ProblemReason::Ledger, e.to_string()).retry_after(RETRY_AFTER)
         }
-        GroupError::Unknown { .. } => unanswered(e),
+        GroupError::Unknown { .. } => unknown_outcome(e),
     }
 }
 
-fn done(reply: Result<ProgramReply, GroupError>) -> Result<ProgramView, Problem> {
-    match reply.map_err(|e| uncommitted(&e))? {
+fn expect_view(reply: Result<ProgramReply, GroupError>) -> Result<ProgramView, Problem> {
+    match reply.map_err(|e| commit_problem(&e))? {
         ProgramReply::Done(view) => Ok(view),
         ProgramReply::Refused(refusal) => Err(refusal.into()),
         ProgramReply::Stored(_) | ProgramReply::InProgress(_) | ProgramReply::InDoubt(_) => {
@@ -259,8 +259,8 @@
     }
 }
 
-fn form(view: &ProgramView) -> View<'_> {
-    View {
+fn program_body(view: &ProgramView) -> ProgramBody<'_> {
+    ProgramBody {
         program: view.program.to_string(),
         partner: &view.program.partner,
         team: &view.spec.team,
@@ -275,7 +275,7 @@
     }
 }
 
-fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
+fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response {
     let mut response = Response::new(status);
     response.set_body(serde_json::to_vec(value).unwrap_or_default());
     response.insert_header("Content-Type", "application/json");
--- a/agatetrestle/src/entry/routes.rs
+++ b/agatetrestle/src/entry/routes.rs
@@ -1,4 +1,4 @@
-//! From a request's path and method to what answers it.
+//! Routes requests by path and method, and parses what several handlers need.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 use crate::attempts::KEY_HEADER;
 use crate::entry::ApiServer;
 use crate::entry::calls;
-use crate::entry::connection::Context;
+use crate::entry::connection::ConnectionContext;
 use crate::entry::problem::Problem;
-use crate::entry::problem::Reason;
+use crate::entry::problem::ProblemReason;
 use crate::entry::programs;
 use crate::ids::ProgramId;
 use crate::ids::RequestKey;
@@ -20,125 +20,130 @@
 use crate::ports::Measure;
 use crate::ports::NotTaking;
 
-const SERVICES: &str = "/v1/services/";
-const KEY_LIMIT: usize = 256;
+const SERVICES_PATH: &str = "/v1/services/";
+const MAX_KEY_BYTES: usize = 256;
 
-/// Answers one request. The caller is gone once the sender of `gone` is dropped.
-pub async fn answer(cx: Context, request: Request, gone: Receiver<()>) -> Response {
-    match route(&cx, request, gone).await {
+/// Answers one request. The channel `disconnected` closes once the connection has ended.
+pub async fn answer(cx: ConnectionContext, request: Request, disconnected: Receiver<()>) -> Response {
+    match route(&cx, request, disconnected).await {
         Ok(response) => response,
         Err(problem) => problem.response(),
     }
 }
 
-async fn route(cx: &Context, request: Request, gone: Receiver<()>) -> Result<Response, Problem> {
+async fn route(
+    cx: &ConnectionContext,
+    request: Request,
+    disconnected: Receiver<()>,
+) -> Result<Response, Problem> {
     let path = request.url().path().to_owned();
     let method = request.method();
-    let expect = |wanted: Method| (method == wanted).then_some(()).ok_or_else(|| wrong_method(wanted));
+    let require_method =
+        |wanted: Method| (method == wanted).then_some(()).ok_or_else(|| wrong_method(wanted));
     match path.as_str() {
         "/v1/addresses" => {
-            expect(Method::Get)?;
-            programs::addresses(&cx.entry, &request)
+            require_method(Method::Get)?;
+            programs::addresses(&cx.server, &request)
         }
         "/v1/programs" => {
-            expect(Method::Post)?;
-            programs::open(&cx.entry, request).await
+            require_method(Method::Post)?;
+            programs::open(&cx.server, request).await
         }
         "/v1/programs/end" => {
-            expect(Method::Post)?;
-            programs::end(&cx.entry, &request).await
+            require_method(Method::Post)?;
+            programs::end(&cx.server, &request).await
         }
         "/v1/answers" => {
-            expect(Method::Get)?;
-            programs::stored(&cx.entry, &request).await
+            require_method(Method::Get)?;
+            programs::stored_answer(&cx.server, &request).await
         }
         "/v1/chat/completions" => {
-            expect(Method::Post)?;
-            calls::model(cx, request, gone).await
+            require_method(Method::Post)?;
+            calls::model_call(cx, request, disconnected).await
         }
         _ => {
-            let rest = path.strip_prefix(SERVICES).ok_or_else(not_found)?;
-            expect(Method::Post)?;
-            let (service, rest) = rest.split_once('/').unwrap_or((rest, ""));
-            calls::service(cx, request, gone, service, rest).await
+            let rest = path.strip_prefix(SERVICES_PATH).ok_or_else(not_found)?;
+            require_method(Method::Post)?;
+            let (service, service_path) = rest.split_once('/').unwrap_or((rest, ""));
+            calls::service_call(cx, request, disconnected, service, service_path).await
         }
     }
 }
 
-/// Refuses new work while the node may not take any.
+/// Checks that the node accepts new work.
 ///
 /// # Errors
 ///
-/// Says why not.
-pub fn taking_work(entry: &ApiServer) -> Result<(), Problem> {
-    if entry.stopping.get() {
+/// Fails while the node is starting, isolated or stopping.
+pub fn require_accepting_work(server: &ApiServer) -> Result<(), Problem> {
+    if server.stopping.get() {
         return Err(NotTaking::Stopping.into());
     }
-    entry.control.taking_work()?;
+    server.control.taking_work()?;
     Ok(())
 }
 
-/// Counts a refusal and passes it on.
-pub fn counted(entry: &ApiServer, labels: &Labels, problem: Problem) -> Problem {
-    entry.recorder.record(labels, &Measure::Refused(problem.label()));
+/// Counts a refusal in the metrics and returns it.
+pub fn record_refusal(server: &ApiServer, labels: &Labels, problem: Problem) -> Problem {
+    server.recorder.record(labels, &Measure::Refused(problem.label()));
     problem
 }
 
-/// The key of a request.
+/// The `Idempotency-Key` of a request.
 ///
 /// # Errors
 ///
-/// Refuses a missing, empty, long or unprintable key.
-pub fn key(request: &Request) -> Result<RequestKey, Problem> {
+/// Fails if the key is missing, too long or not printable.
+pub fn idempotency_key(request: &Request) -> Result<RequestKey, Problem> {
     let key = request.header(KEY_HEADER).map(|v| v.last().as_str()).unwrap_or_default();
-    usable_key(key)
+    parse_key(key)
 }
 
-/// Checks the text of a key.
+/// Parses an idempotency key.
 ///
 /// # Errors
 ///
-/// Refuses an empty, long or unprintable key.
-pub fn usable_key(key: &str) -> Result<RequestKey, Problem> {
-    let usable = !key.is_empty() && key.len() <= KEY_LIMIT && key.bytes().all(|b| b.is_ascii_graphic());
+/// Fails if the key is empty, too long or not printable.
+pub fn parse_key(key: &str) -> Result<RequestKey, Problem> {
+    let valid = !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.bytes().all(|b| b.is_ascii_graphic());
     let refusal =
-        || Problem::not_run(400, Reason::Key, "Idempotency-Key must be 1 to 256 printable characters");
-    usable.then(|| RequestKey(key.into())).ok_or_else(refusal)
+        || Problem::not_run(400, ProblemReason::Key, "Idempotency-Key must be 1 to 256 printable characters");
+    valid.then(|| RequestKey(key.into())).ok_or_else(refusal)
 }
 
-/// A value of the query part.
+/// The first value of a query parameter.
 #[must_use]
-pub fn query(request: &Request, name: &str) -> Option<String> {
+pub fn query_value(request: &Request, name: &str) -> Option<String> {
     request.url().query_pairs().find(|(key, _)| key == name).map(|(_, value)| value.into_owned())
 }
 
-/// The program that the query part names.
+/// The program in the query parameter `program`.
 ///
 /// # Errors
 ///
-/// Refuses a missing or malformed name.
-pub fn program_in_query(request: &Request) -> Result<ProgramId, Problem> {
-    program(query(request, "program").as_deref())
+/// Fails if the name is missing or malformed.
+pub fn program_from_query(request: &Request) -> Result<ProgramId, Problem> {
+    parse_program(query_value(request, "program").as_deref())
 }
 
-/// Reads the name of a program.
+/// Parses a program name of the form `partner/name`.
 ///
 /// # Errors
 ///
-/// Refuses a missing or malformed name.
-pub fn program(text: Option<&str>) -> Result<ProgramId, Problem> {
+/// Fails if the name is missing or malformed.
+pub fn parse_program(text: Option<&str>) -> Result<ProgramId, Problem> {
     text.and_then(ProgramId::parse).ok_or_else(|| malformed("a program is named partner/name"))
 }
 
-/// A refusal of a request that can't be understood.
+/// The refusal of a malformed request, with status 400.
 pub fn malformed(detail: impl Into<Arc<str>>) -> Problem {
-    Problem::not_run(400, Reason::Malformed, detail)
+    Problem::not_run(400, ProblemReason::Malformed, detail)
 }
 
 fn not_found() -> Problem {
-    Problem::not_run(404, Reason::NotFound, "no such path")
+    Problem::not_run(404, ProblemReason::NotFound, "no such path")
 }
 
 fn wrong_method(wanted: Method) -> Problem {
-    Problem::not_run(405, Reason::Method, format!("use {wanted}"))
+    Problem::not_run(405, ProblemReason::Method, format!("use {wanted}"))
 }
--- a/agatetrestle/src/entry/settle.rs
+++ b/agatetrestle/src/entry/settle.rs
@@ -1,4 +1,4 @@
-//! The end of a call: each ending of an attempt has exactly one command that is true of it.
+//! Settles a call in the ledger: each outcome of an attempt maps to exactly one command.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,135 +6,141 @@
 use crate::attempts::Ending;
 use crate::attempts::Outcome;
 use crate::attempts::Reply;
-use crate::entry::carry::Carried;
+use crate::entry::call_task::CallTask;
 use crate::entry::problem::Problem;
-use crate::entry::problem::Reason;
+use crate::entry::problem::ProblemReason;
 use crate::entry::programs;
-use crate::entry::programs::COMEBACK;
+use crate::entry::programs::RETRY_AFTER;
 use crate::programs::command::Answer;
 use crate::programs::command::ProgramCommand;
 use crate::programs::command::ProgramReply;
 
-/// How often a settlement is tried before it is left to the caller's next request.
-const SETTLE_TRIES: u32 = 60;
+/// Tries to commit a settlement; after that the call stays open until the caller's next request.
+const MAX_SETTLE_TRIES: u32 = 60;
 
-/// How often the answer is tried to be stored before the caller is told to ask again.
-const STORE_TRIES: u32 = 3;
+/// Tries to store the answer before the caller is asked to retry.
+const MAX_STORE_TRIES: u32 = 3;
 
-/// Pause between two tries.
-const SETTLE_PAUSE: Duration = Duration::from_millis(500);
+const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-impl Carried<'_> {
-    pub(super) async fn settle(&self, outcome: Outcome, lost: u64) -> Result<Answer, Problem> {
+impl CallTask<'_> {
+    pub(super) async fn settle(&self, outcome: Outcome, lost_tokens: u64) -> Result<Answer, Problem> {
         let (ending, problem) = match outcome {
-            Outcome::Answered(reply) => return self.finish(reply, lost).await,
+            Outcome::Answered(reply) => return self.finish(reply, lost_tokens).await,
             Outcome::HeldBack => {
-                return self.held_back.take().unwrap_or_else(|| Err(programs::in_progress()));
+                return self.early_result.take().unwrap_or_else(|| Err(programs::in_progress()));
             }
             Outcome::Refused { reason, retry_after } => {
                 let problem = Problem::not_run(503, reason.into(), "the call was turned away");
                 (Ending::NotRun, problem.retry_after(retry_after))
             }
             Outcome::GivenUp { ending, detail, retry_after } => {
-                (ending, given_up(ending, detail, retry_after))
+                (ending, problem_for(ending, detail, retry_after))
+            }
+            Outcome::Cancelled(ending) => {
+                (ending, problem_for(ending, "the caller went away".into(), RETRY_AFTER))
             }
-            Outcome::Cancelled(ending) => (ending, given_up(ending, "the caller went away".into(), COMEBACK)),
         };
         if !self.begun.get() {
-            return self.refused(problem).await;
+            return self.resolve_refusal(problem).await;
         }
         self.end_attempt(ending).await;
         Err(problem)
     }
 
-    /// Stores the answer and settles what it cost, lost attempts included.
-    async fn finish(&self, reply: Reply, lost: u64) -> Result<Answer, Problem> {
-        let out = &self.planned.outgoing;
+    /// Stores the answer and settles its cost, failed attempts included.
+    async fn finish(&self, reply: Reply, lost_tokens: u64) -> Result<Answer, Problem> {
+        let outgoing = &self.call.outgoing;
         let reserve = self.reserve.get();
-        let spent = reply.usage.prompt.saturating_add(reply.usage.output).saturating_add(lost);
+        let spent = reply.usage.prompt.saturating_add(reply.usage.output).saturating_add(lost_tokens);
         if spent > reserve {
-            log::warn!("{} spent {spent} tokens with {reserve} reserved.", out.program);
+            log::warn!("Program {} spent {spent} tokens of {reserve} reserved.", outgoing.program);
         }
         let command = ProgramCommand::Finish {
-            program: out.program.clone(),
-            call: out.call,
+            program: outgoing.program.clone(),
+            call: outgoing.call,
             attempt: self.attempt,
             answer: reply.answer.clone(),
             spent: spent.min(reserve),
         };
-        self.measure_answer(&reply);
-        match self.commit(&command, STORE_TRIES).await {
+        self.record_answer(&reply);
+        match self.commit_with_retry(&command, MAX_STORE_TRIES).await {
             Some(ProgramReply::Done(_)) => {
-                let base = self.planned.conversation.as_ref().map(|held| held.base(out.call));
-                self.entry.state.known.answered(&out.program, programs::wall_clock(), base);
+                let base =
+                    self.call.conversation.as_ref().map(|conversation| conversation.as_base(outgoing.call));
+                self.server.state.recent.record_answer(&outgoing.program, programs::unix_millis(), base);
                 Ok(reply.answer)
             }
             Some(ProgramReply::Stored(answer)) => Ok(answer),
-            Some(_) => self.asked_again().await,
+            Some(_) => self.query_answer().await,
             None => {
-                self.owed.replace(Some(command));
-                self.asked_again().await
+                self.pending_settlement.replace(Some(command));
+                self.query_answer().await
             }
         }
     }
 
-    /// The answer was not stored, or the reply was lost: the ledger says what is true.
-    async fn asked_again(&self) -> Result<Answer, Problem> {
-        match self.ask().await {
+    /// Looks the request up in the ledger after `Finish` was refused or got no reply.
+    async fn query_answer(&self) -> Result<Answer, Problem> {
+        match self.query_request().await {
             Ok(ProgramReply::Stored(answer)) => Ok(answer),
             Ok(ProgramReply::InDoubt(_)) => Err(programs::in_doubt()),
             Ok(_) | Err(_) => {
                 let detail = "the answer is not stored yet; ask again with the same key";
-                Err(Problem::unknown(503, Reason::Ledger, detail).retry_after(COMEBACK))
+                Err(Problem::unknown(503, ProblemReason::Ledger, detail).retry_after(RETRY_AFTER))
             }
         }
     }
 
-    /// Tells the ledger how the attempt ended. What the ledger does not take at once is owed. A repeatable
-    /// call in doubt may be begun again, and what the lost attempt may have cost stays charged.
+    /// Commits how the attempt ended, or leaves that pending if the ledger does not reply. A repeatable call
+    /// that is marked as unknown may be begun again; its reservation stays charged.
     pub(super) async fn end_attempt(&self, ending: Ending) {
-        let program = self.planned.outgoing.program.clone();
-        let call = self.planned.outgoing.call;
+        let program = self.call.outgoing.program.clone();
+        let call = self.call.outgoing.call;
         let attempt = self.attempt;
         let command = match ending {
             Ending::NotRun => ProgramCommand::NotRun { program, call, attempt },
             Ending::Unknown | Ending::Open => ProgramCommand::Unknown { program, call, attempt },
         };
-        if self.commit(&command, 1).await.is_none() {
-            self.owed.replace(Some(command));
+        if self.commit_with_retry(&command, 1).await.is_none() {
+            self.pending_settlement.replace(Some(command));
         }
     }
 
-    /// Commits what the ledger did not take while the caller waited.
-    pub(super) async fn pay(&self) {
-        let owed = self.owed.take();
-        if let Some(command) = owed
-            && self.commit(&command, SETTLE_TRIES).await.is_none()
+    /// Retries the settlement that was not committed while the caller waited.
+    pub(super) async fn commit_pending(&self) {
+        let pending = self.pending_settlement.take();
+        if let Some(command) = pending
+            && self.commit_with_retry(&command, MAX_SETTLE_TRIES).await.is_none()
         {
-            let out = &self.planned.outgoing;
-            log::error!("Call {} of {} stays open in the ledger.", out.call.0, out.program);
+            let outgoing = &self.call.outgoing;
+            log::error!(
+                "Call {} of program {} could not be settled and stays open.",
+                outgoing.call.0,
+                outgoing.program
+            );
         }
     }
 
-    /// Commits a settlement, trying again while the reply is missing: each is harmless twice.
-    async fn commit(&self, command: &ProgramCommand, tries: u32) -> Option<ProgramReply> {
-        for tried in 0..tries {
-            if tried > 0 {
-                self.entry.timer.after(SETTLE_PAUSE).await;
+    /// Commits a settlement, retrying while there is no reply; settlements are idempotent.
+    async fn commit_with_retry(&self, command: &ProgramCommand, tries: u32) -> Option<ProgramReply> {
+        for retries in 0..tries {
+            if retries > 0 {
+                self.server.timer.after(SETTLE_RETRY_DELAY).await;
             }
             match self.submit(command.clone()).await {
                 Ok(reply) => return Some(reply),
-                Err(e) => log::warn!("A settlement got no reply: {e}."),
+                Err(e) => log::warn!("Committing a settlement failed: {e}."),
             }
         }
         None
     }
 }
 
-fn given_up(ending: Ending, detail: Arc<str>, retry_after: Duration) -> Problem {
+fn problem_for(ending: Ending, detail: Arc<str>, retry_after: Duration) -> Problem {
     match ending {
-        Ending::NotRun => Problem::not_run(503, Reason::Unreachable, detail).retry_after(retry_after),
-        Ending::Open => Problem::unknown(502, Reason::Lost, detail).retry_after(retry_after),
-        Ending::Unknown => Problem::unknown(502, Reason::InDoubt, detail),
+        Ending::NotRun => Problem::not_run(503, ProblemReason::Unreachable, detail).retry_after(retry_after),
+        Ending::Open => Problem::unknown(502, ProblemReason::Lost, detail).retry_after(retry_after),
+        Ending::Unknown => Problem::unknown(502, ProblemReason::InDoubt, detail),
     }
 }
