--- a/agatetrestle/src/programs/command.rs
+++ b/agatetrestle/src/programs/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the ledger and their replies.
+//! Commands and queries of the ledger with their replies.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::ids::ProgramId;
 use crate::ids::RequestKey;
 
-/// What a program is, as told when it was opened.
+/// Parameters of a program, fixed when it is opened.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ProgramSpec {
     /// Team within the partner.
@@ -19,22 +19,22 @@
     pub class: Arc<str>,
     /// Tokens the program may spend, its sub-agents included.
     pub budget: u64,
-    /// Most calls the program may make.
+    /// Limit on the calls of the program.
     pub turns: u32,
-    /// The program that this one is a sub-agent of; its budget is carved out of the parent's.
+    /// The parent of a sub-agent, whose budget is reserved from the parent's.
     pub parent: Option<ProgramId>,
 }
 
 /// Whether a call may be sent more than once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Repeatable {
-    /// Sending it twice is harmless.
+    /// The call is idempotent.
     Yes,
-    /// It is sent at most once.
+    /// The call must be sent at most once.
     No,
 }
 
-/// The stored answer of a call, whole, so that any node can give it again.
+/// A complete answer, as it is stored to answer resends on any node.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Answer {
     /// HTTP status.
@@ -48,90 +48,90 @@
 /// A change to one program.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ProgramCommand {
-    /// Create the program; a resend with the same key and spec is answered as the first.
+    /// Creates a program. A resend with the same key and spec gets the same reply.
     Open {
         /// The program.
         program: ProgramId,
-        /// Key of the request that opens it.
+        /// Key of the opening request.
         key: RequestKey,
-        /// What it is.
+        /// Parameters of the program.
         spec: ProgramSpec,
         /// Wall-clock milliseconds since 1970 on the proposing node, for listings only.
         at: u64,
     },
-    /// Begin the next call and reserve the most it can cost.
+    /// Begins the next call and reserves its maximum cost.
     Begin {
         /// The program.
         program: ProgramId,
-        /// Must be the next number.
+        /// The number of the call, which must be the next one.
         call: CallNumber,
         /// Key of the caller's request.
         key: RequestKey,
-        /// Who begins it.
+        /// The attempt that begins the call.
         attempt: AttemptId,
-        /// Tokens reserved.
+        /// Tokens to reserve.
         reserve: u64,
-        /// Whether it may be sent again.
+        /// Whether the call may be sent more than once.
         repeatable: Repeatable,
-        /// The request, which is part of the history.
+        /// The request, which is appended to the history.
         request: Arc<[u8]>,
         /// Digest of the request, so that a key reused for another request is refused.
         digest: u64,
     },
-    /// Take over a repeatable call that another node began and left open.
+    /// Replaces the attempt of an open repeatable call.
     TakeOver {
         /// The program.
         program: ProgramId,
         /// The open call.
         call: CallNumber,
-        /// The attempt that is replaced; refused if it is not the current one.
+        /// The attempt to replace, which must be the current one.
         previous: AttemptId,
         /// The new attempt.
         attempt: AttemptId,
     },
-    /// Store the answer and settle the reservation.
+    /// Stores the answer and settles the reservation.
     Finish {
         /// The program.
         program: ProgramId,
         /// The open call.
         call: CallNumber,
-        /// The attempt that has the answer.
+        /// The attempt that got the answer.
         attempt: AttemptId,
         /// The answer.
         answer: Answer,
-        /// Tokens spent, at most the reservation.
+        /// Tokens spent; at most the reservation is charged.
         spent: u64,
     },
-    /// The call was not sent; its number and reservation are free again.
+    /// Releases the number and reservation of a call that was not sent.
     NotRun {
         /// The program.
         program: ProgramId,
         /// The open call.
         call: CallNumber,
-        /// Only the attempt that began the call may say so.
+        /// The attempt of the call, which must be the current one.
         attempt: AttemptId,
     },
-    /// Nobody can tell whether the call ran; it is never sent again.
+    /// Marks that it is unknown whether the call ran; only a repeatable call may be begun again.
     Unknown {
         /// The program.
         program: ProgramId,
         /// The open call.
         call: CallNumber,
-        /// The attempt in doubt.
+        /// The attempt with the unknown outcome.
         attempt: AttemptId,
     },
-    /// An operator found out what became of an unknown call.
+    /// Records an operator's finding about a call with an unknown outcome.
     Resolve {
         /// The program.
         program: ProgramId,
         /// The call.
         call: CallNumber,
-        /// Whether it ran.
+        /// Whether the call ran.
         ran: bool,
-        /// What the operator wrote.
+        /// The operator's note.
         note: Arc<str>,
     },
-    /// No more calls; what is left of a sub-agent's budget goes back to its parent.
+    /// Ends a program; the unspent budget of a sub-agent returns to its parent.
     End {
         /// The program.
         program: ProgramId,
@@ -139,7 +139,7 @@
 }
 
 impl ProgramCommand {
-    /// The program that the command changes.
+    /// The program to which the command applies.
     #[must_use]
     pub fn program(&self) -> &ProgramId {
         match self {
@@ -158,24 +158,24 @@
 /// State of a call.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum CallState {
-    /// Begun and not settled.
+    /// The call is begun and not settled.
     Open,
-    /// Has a stored answer.
+    /// The call has a stored answer.
     Finished,
-    /// Nobody can tell whether it ran.
+    /// It is unknown whether the call ran.
     Unknown,
 }
 
-/// What the ledger says of a program.
+/// Summary of a program's state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ProgramView {
     /// The program.
     pub program: ProgramId,
-    /// What it is.
+    /// Parameters of the program.
     pub spec: ProgramSpec,
-    /// The number that the next call must have.
+    /// Number of the next call.
     pub next_call: CallNumber,
-    /// Tokens spent, settled sub-agents included.
+    /// Tokens spent, ended sub-agents included.
     pub spent: u64,
     /// Tokens reserved by the open call and by open sub-agents.
     pub reserved: u64,
@@ -183,88 +183,88 @@
     pub ended: bool,
     /// The last call, if any.
     pub last: Option<(CallNumber, CallState, AttemptId, Repeatable)>,
-    /// Wall-clock milliseconds since 1970 at which it was opened, by the proposer's clock.
+    /// Opening time in wall-clock milliseconds since 1970, by the proposing node's clock.
     pub opened_at: u64,
 }
 
 /// Reply to a command or query.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ProgramReply {
-    /// Done; the program as it is now.
+    /// The command was applied; the program after it.
     Done(ProgramView),
-    /// The request was begun earlier; this is its stored answer.
+    /// A request with this key has this stored answer.
     Stored(Answer),
-    /// The request was begun earlier by this attempt and is still open.
+    /// A request with this key is open for this attempt.
     InProgress(AttemptId),
-    /// The request was begun earlier and nobody can tell whether it ran.
+    /// A request with this key was begun by this attempt, and it is unknown whether it ran.
     InDoubt(AttemptId),
-    /// Nothing was changed.
+    /// The command was refused and nothing changed.
     Refused(Refusal),
 }
 
-/// Why the ledger changed nothing.
+/// Why the ledger refused a command or query.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Refusal {
-    /// There is no such program.
+    /// The program does not exist.
     NoProgram,
-    /// A program of this name exists with another spec or key.
+    /// The program exists with a different spec or key.
     Exists,
     /// The program has ended.
     Ended,
-    /// Calls must come in order; this number is next.
+    /// The call does not have the next number.
     OutOfOrder {
-        /// The number that is next.
+        /// The next number.
         next: CallNumber,
     },
-    /// An earlier call is still open or in doubt.
+    /// An earlier call is still open.
     CallOpen {
-        /// That call.
+        /// The open call.
         call: CallNumber,
     },
-    /// The reservation does not fit.
+    /// The reservation exceeds the budget.
     Budget {
-        /// Tokens that are left.
+        /// Tokens left in the budget.
         left: u64,
     },
-    /// The program has made as many calls as it may.
+    /// The program has reached its limit on calls.
     Turns,
     /// The key was used for another request.
     KeyReused,
-    /// Another attempt holds the call.
+    /// The attempt is not the current one of the call, or has released it.
     NotYourAttempt,
-    /// The call is not in a state that allows this.
+    /// The state of the call does not allow the command.
     WrongState,
-    /// Sub-agents are still live.
+    /// Sub-agents have not ended.
     Children,
-    /// The stored answer is there but can't be read on this replica.
+    /// This replica can't read the stored answer.
     HistoryUnreadable,
 }
 
-/// A question about programs that changes nothing.
+/// A read-only query.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ProgramQuery {
-    /// One program.
+    /// Returns one program.
     Program(ProgramId),
-    /// What became of the request with this key.
+    /// Returns the state of the request with this key.
     Request(ProgramId, RequestKey),
-    /// Programs of a partner, newest first, at most so many.
+    /// Lists at most this many programs of a partner, newest first.
     List(Arc<str>, u32),
 }
 
 /// Reply to a query.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum QueryReply {
-    /// The answer about one program or request.
+    /// The reply about one program or request.
     One(ProgramReply),
-    /// A list of programs.
+    /// The listed programs.
     Many(Vec<ProgramView>),
 }
 
-/// What is sent to a state group: a command through its log, or a query to its leader.
+/// A request to a state group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ProgramRequest {
-    /// Through the log.
+    /// A command, which is committed through the log.
     Command(ProgramCommand),
-    /// By the leader's lease.
+    /// A query, which the leader answers under its lease.
     Query(ProgramQuery),
 }
--- a/agatetrestle/src/programs/ledger.rs
+++ b/agatetrestle/src/programs/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger itself: a pure state machine over programs.
+//! The replicated state machine of the ledger.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,16 +27,16 @@
 use crate::programs::command::ProgramView;
 use crate::programs::command::QueryReply;
 use crate::programs::command::Refusal;
-use crate::programs::program::Begun;
-use crate::programs::program::Earlier;
+use crate::programs::program::BeginOutcome;
 use crate::programs::program::NewCall;
-use crate::programs::program::Program;
+use crate::programs::program::PriorRequest;
+use crate::programs::program::ProgramState;
 use crate::programs::program::StoredAnswer;
 
-/// Programs by identity; ordered, so that every replica codes the same snapshot. The bodies of requests
-/// and answers stand in the history.
+/// Programs in order of identity, so that every replica encodes the same snapshot. The bodies of requests and
+/// answers are in the history.
 pub struct LedgerState {
-    programs: BTreeMap<ProgramId, Program>,
+    programs: BTreeMap<ProgramId, ProgramState>,
     history: Box<dyn History>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl LedgerState {
-    /// An empty ledger over a history.
+    /// An empty ledger that appends bodies to `history`.
     #[must_use]
     pub fn new(history: Box<dyn History>) -> Self {
         Self { programs: BTreeMap::new(), history }
@@ -55,11 +55,11 @@
 
     /// Applies a command; the reply is the same on every replica.
     pub fn execute(&mut self, command: ProgramCommand) -> ProgramReply {
-        let outcome = match command {
+        let result = match command {
             ProgramCommand::Open { program, key, spec, at } => self.open(program, key, spec, at),
-            command => self.change(command),
+            command => self.update(command),
         };
-        outcome.unwrap_or_else(ProgramReply::Refused)
+        result.unwrap_or_else(ProgramReply::Refused)
     }
 
     fn open(
@@ -70,41 +70,43 @@
         at: u64,
     ) -> Result<ProgramReply, Refusal> {
         if let Some(existing) = self.programs.get(&id) {
-            let same = existing.key == key && existing.spec == spec;
-            return if same { Ok(ProgramReply::Done(existing.view(&id))) } else { Err(Refusal::Exists) };
+            let is_resend = existing.key == key && existing.spec == spec;
+            return if is_resend { Ok(ProgramReply::Done(existing.view(&id))) } else { Err(Refusal::Exists) };
         }
         if let Some(parent) = &spec.parent {
             if parent.partner != id.partner {
                 return Err(Refusal::NoProgram);
             }
-            self.programs.get_mut(parent).ok_or(Refusal::NoProgram)?.adopt(spec.budget)?;
+            self.programs.get_mut(parent).ok_or(Refusal::NoProgram)?.reserve_child(spec.budget)?;
         }
-        let program = Program::open(key, spec, at);
+        let program = ProgramState::open(key, spec, at);
         let view = program.view(&id);
         self.programs.insert(id, program);
         Ok(ProgramReply::Done(view))
     }
 
-    fn change(&mut self, command: ProgramCommand) -> Result<ProgramReply, Refusal> {
+    fn update(&mut self, command: ProgramCommand) -> Result<ProgramReply, Refusal> {
         let id = command.program().clone();
         let program = self.programs.get_mut(&id).ok_or(Refusal::NoProgram)?;
         let history = &mut self.history;
         match command {
             ProgramCommand::Open { .. } => return Err(Refusal::Exists),
             ProgramCommand::Begin { call, key, attempt, reserve, repeatable, request, digest, .. } => {
-                let new = NewCall { number: call, key, attempt, reserve, repeatable, digest };
-                if let Begun::Earlier(earlier) = program.begin(new, || history.append(&request))? {
-                    return Ok(self.tell(earlier));
+                let new_call = NewCall { number: call, key, attempt, reserve, repeatable, digest };
+                if let BeginOutcome::Duplicate(prior) =
+                    program.begin(new_call, || history.append(&request))?
+                {
+                    return Ok(self.duplicate_reply(prior));
                 }
             }
             ProgramCommand::TakeOver { call, previous, attempt, .. } => {
                 program.take_over(call, previous, attempt)?;
             }
             ProgramCommand::Finish { call, attempt, answer, spent, .. } => {
-                program.finish(call, attempt, spent, || store(history.as_mut(), answer))?;
+                program.finish(call, attempt, spent, || store_answer(history.as_mut(), answer))?;
             }
             ProgramCommand::NotRun { call, attempt, .. } => program.not_run(call, attempt)?,
-            ProgramCommand::Unknown { call, attempt, .. } => program.doubt(call, attempt)?,
+            ProgramCommand::Unknown { call, attempt, .. } => program.mark_unknown(call, attempt)?,
             ProgramCommand::Resolve { call, ran, note, .. } => program.resolve(call, ran, note)?,
             ProgramCommand::End { .. } => {
                 let settlement = program.end()?;
@@ -125,54 +127,58 @@
         }
     }
 
-    /// Answers a query from the state as it is.
+    /// Answers a query from the current state.
     #[must_use]
     pub fn query(&self, query: &ProgramQuery) -> QueryReply {
         match query {
-            ProgramQuery::Program(id) => QueryReply::One(self.one(id)),
-            ProgramQuery::Request(id, key) => QueryReply::One(self.request(id, key)),
-            ProgramQuery::List(partner, limit) => QueryReply::Many(self.list(partner, *limit as usize)),
+            ProgramQuery::Program(id) => QueryReply::One(self.program_view(id)),
+            ProgramQuery::Request(id, key) => QueryReply::One(self.request_status(id, key)),
+            ProgramQuery::List(partner, limit) => {
+                QueryReply::Many(self.list_programs(partner, *limit as usize))
+            }
         }
     }
 
-    fn one(&self, id: &ProgramId) -> ProgramReply {
+    fn program_view(&self, id: &ProgramId) -> ProgramReply {
         match self.programs.get(id) {
             Some(program) => ProgramReply::Done(program.view(id)),
             None => ProgramReply::Refused(Refusal::NoProgram),
         }
     }
 
-    fn request(&self, id: &ProgramId, key: &RequestKey) -> ProgramReply {
-        let found = self.programs.get(id).and_then(|program| program.request(key));
-        found.map_or(ProgramReply::Refused(Refusal::NoProgram), |earlier| self.tell(earlier))
+    fn request_status(&self, id: &ProgramId, key: &RequestKey) -> ProgramReply {
+        let found = self.programs.get(id).and_then(|program| program.find_request(key));
+        found.map_or(ProgramReply::Refused(Refusal::NoProgram), |prior| self.duplicate_reply(prior))
     }
 
-    fn tell(&self, earlier: Earlier) -> ProgramReply {
-        match earlier {
-            Earlier::InProgress(attempt) => ProgramReply::InProgress(attempt),
-            Earlier::InDoubt(attempt) => ProgramReply::InDoubt(attempt),
-            Earlier::Stored(StoredAnswer { status, content_type, body }) => match self.history.read(body) {
-                Ok(body) => ProgramReply::Stored(Answer { status, content_type, body }),
-                Err(failure) => {
-                    error!("A stored answer can't be read: {failure}.");
-                    ProgramReply::Refused(Refusal::HistoryUnreadable)
+    fn duplicate_reply(&self, prior: PriorRequest) -> ProgramReply {
+        match prior {
+            PriorRequest::InProgress(attempt) => ProgramReply::InProgress(attempt),
+            PriorRequest::InDoubt(attempt) => ProgramReply::InDoubt(attempt),
+            PriorRequest::Stored(StoredAnswer { status, content_type, body }) => {
+                match self.history.read(body) {
+                    Ok(body) => ProgramReply::Stored(Answer { status, content_type, body }),
+                    Err(e) => {
+                        error!("A stored answer can't be read: {e}.");
+                        ProgramReply::Refused(Refusal::HistoryUnreadable)
+                    }
                 }
-            },
+            }
         }
     }
 
-    fn list(&self, partner: &Arc<str>, limit: usize) -> Vec<ProgramView> {
+    fn list_programs(&self, partner: &Arc<str>, limit: usize) -> Vec<ProgramView> {
         let first = ProgramId { partner: partner.clone(), name: "".into() };
         let of_partner = self.programs.range(first..).take_while(|(id, _)| id.partner == *partner);
-        let mut found: Vec<(&ProgramId, &Program)> = of_partner.collect();
-        found.sort_by_key(|(_, program)| std::cmp::Reverse(program.opened_at()));
-        found.truncate(limit);
-        found.into_iter().map(|(id, program)| program.view(id)).collect()
+        let mut programs: Vec<(&ProgramId, &ProgramState)> = of_partner.collect();
+        programs.sort_by_key(|(_, program)| std::cmp::Reverse(program.opened_at()));
+        programs.truncate(limit);
+        programs.into_iter().map(|(id, program)| program.view(id)).collect()
     }
 
-    /// Programs that have not ended.
+    /// Number of programs that have not ended.
     #[must_use]
-    pub fn live(&self) -> usize {
+    pub fn live_programs(&self) -> usize {
         self.programs.values().filter(|program| !program.ended()).count()
     }
 }
@@ -181,7 +187,7 @@
     fn apply(&mut self, _position: Position, payload: &Arc<[u8]>) -> Vec<u8> {
         let reply = match decode::<ProgramCommand>(payload) {
             Ok(command) => self.execute(command),
-            // Every replica fails alike on bytes that a newer build wrote, so they still agree.
+            // All replicas refuse a command of a newer version alike, so their states stay equal.
             Err(_) => ProgramReply::Refused(Refusal::WrongState),
         };
         encode(&reply)
@@ -189,11 +195,11 @@
 
     fn snapshot(&self) -> Vec<u8> {
         let programs = self.programs.iter().collect();
-        encode(&Coded { history_end: self.history.end(), programs })
+        encode(&EncodedSnapshot { history_end: self.history.end(), programs })
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
-        let decoded: Decoded = decode(data).context(CodedSnafu)?;
+        let decoded: DecodedSnapshot = decode(data).context(CodedSnafu)?;
         self.history.truncate(decoded.history_end).context(UnbackedSnafu)?;
         self.programs = decoded.programs.into_iter().collect();
         Ok(())
@@ -204,26 +210,26 @@
     }
 
     fn history_end(&self, data: &[u8]) -> Result<u64, RestoreError> {
-        let decoded: Decoded = decode(data).context(CodedSnafu)?;
+        let decoded: DecodedSnapshot = decode(data).context(CodedSnafu)?;
         Ok(decoded.history_end)
     }
 }
 
-/// A snapshot as it is written.
+/// The snapshot in its serialized form, with borrowed programs.
 #[derive(Serialize)]
-struct Coded<'a> {
+struct EncodedSnapshot<'a> {
     history_end: u64,
-    programs: Vec<(&'a ProgramId, &'a Program)>,
+    programs: Vec<(&'a ProgramId, &'a ProgramState)>,
 }
 
-/// A snapshot as it is read.
+/// A deserialized snapshot.
 #[derive(Deserialize)]
-struct Decoded {
+struct DecodedSnapshot {
     history_end: u64,
-    programs: Vec<(ProgramId, Program)>,
+    programs: Vec<(ProgramId, ProgramState)>,
 }
 
-fn store(history: &mut dyn History, answer: Answer) -> StoredAnswer {
+fn store_answer(history: &mut dyn History, answer: Answer) -> StoredAnswer {
     let Answer { status, content_type, body } = answer;
     StoredAnswer { status, content_type, body: history.append(&body) }
 }
--- a/agatetrestle/src/programs/program.rs
+++ b/agatetrestle/src/programs/program.rs
@@ -1,4 +1,4 @@
-//! One program of the ledger: its calls, budget and history.
+//! State of one program in the ledger: its calls, budget and stored answers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::programs::command::Refusal;
 use crate::programs::command::Repeatable;
 
-/// A call with everything that a resend may ask for.
+/// A call with what is needed to answer a resend of its request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct CallRecord {
     key: RequestKey,
@@ -33,7 +33,7 @@
     note: Option<Arc<str>>,
 }
 
-/// An answer whose body stands in the history.
+/// An answer whose body is in the history.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct StoredAnswer {
     pub(super) status: u16,
@@ -41,7 +41,7 @@
     pub(super) body: Record,
 }
 
-/// What a `Begin` asks for.
+/// Arguments of `Begin`.
 #[derive(Clone, Debug)]
 pub(super) struct NewCall {
     pub(super) number: CallNumber,
@@ -52,9 +52,9 @@
     pub(super) digest: u64,
 }
 
-/// State of one program. Calls are numbered from 1 in the order they were begun.
+/// A program. Calls are numbered from 1 in the order in which they were begun.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub(super) struct Program {
+pub(super) struct ProgramState {
     pub(super) key: RequestKey,
     pub(super) spec: ProgramSpec,
     opened_at: u64,
@@ -63,12 +63,12 @@
     reserved: u64,
     children: u32,
     ended: bool,
-    /// Highest attempt of each node that gave its call back, so that a late duplicate of its
-    /// `Begin` can't open the call again for an attempt that nobody makes any more.
+    /// Latest attempt of each node that released its call with `NotRun`, as incarnation and sequence, so that a
+    /// late duplicate of its `Begin` is refused.
     released: BTreeMap<NodeId, (u64, u64)>,
 }
 
-impl Program {
+impl ProgramState {
     pub(super) fn open(key: RequestKey, spec: ProgramSpec, opened_at: u64) -> Self {
         Self {
             key,
@@ -91,91 +91,98 @@
         self.opened_at
     }
 
-    fn left(&self) -> u64 {
+    fn remaining(&self) -> u64 {
         self.spec.budget - self.spent - self.reserved
     }
 
-    /// Carves a sub-agent's budget out of this program's.
-    pub(super) fn adopt(&mut self, budget: u64) -> Result<(), Refusal> {
+    /// Reserves the budget of a new sub-agent.
+    pub(super) fn reserve_child(&mut self, budget: u64) -> Result<(), Refusal> {
         if self.ended {
             return Err(Refusal::Ended);
         }
-        if budget > self.left() {
-            return Err(Refusal::Budget { left: self.left() });
+        if budget > self.remaining() {
+            return Err(Refusal::Budget { left: self.remaining() });
         }
         self.reserved += budget;
         self.children += 1;
         Ok(())
     }
 
-    /// Takes back what an ended sub-agent left.
+    /// Releases the reservation of an ended sub-agent and charges what it spent.
     pub(super) fn settle_child(&mut self, budget: u64, spent: u64) {
         self.reserved -= budget;
         self.spent += spent;
         self.children -= 1;
     }
 
-    /// Begins a call; `store` puts the request into the history and is called only for a new one.
-    pub(super) fn begin(&mut self, new: NewCall, store: impl FnOnce() -> Record) -> Result<Begun, Refusal> {
-        if let Some(index) = self.calls.iter().rposition(|call| call.key == new.key) {
-            return self.begin_again(index, &new);
+    /// Begins a call; `append_request` appends its request to the history and is called only for a new call.
+    pub(super) fn begin(
+        &mut self,
+        new_call: NewCall,
+        append_request: impl FnOnce() -> Record,
+    ) -> Result<BeginOutcome, Refusal> {
+        if let Some(index) = self.calls.iter().rposition(|call| call.key == new_call.key) {
+            return self.begin_duplicate(index, &new_call);
         }
         if self.ended {
             return Err(Refusal::Ended);
         }
-        if self.was_released(new.attempt) {
+        if self.was_released(new_call.attempt) {
             return Err(Refusal::NotYourAttempt);
         }
-        self.check_order(new.number)?;
+        self.check_order(new_call.number)?;
         if self.calls.len() >= self.spec.turns as usize {
             return Err(Refusal::Turns);
         }
-        self.reserve(new.reserve)?;
+        self.reserve(new_call.reserve)?;
         self.calls.push(CallRecord {
-            key: new.key,
-            digest: new.digest,
-            attempt: new.attempt,
-            repeatable: new.repeatable,
+            key: new_call.key,
+            digest: new_call.digest,
+            attempt: new_call.attempt,
+            repeatable: new_call.repeatable,
             state: CallState::Open,
-            reserve: new.reserve,
+            reserve: new_call.reserve,
             charged: 0,
-            request: store(),
+            request: append_request(),
             answer: None,
             note: None,
         });
-        Ok(Begun::Now)
+        Ok(BeginOutcome::Started)
     }
 
-    fn begin_again(&mut self, index: usize, new: &NewCall) -> Result<Begun, Refusal> {
+    fn begin_duplicate(&mut self, index: usize, new_call: &NewCall) -> Result<BeginOutcome, Refusal> {
         let call = &self.calls[index];
-        if call.digest != new.digest {
+        if call.digest != new_call.digest {
             return Err(Refusal::KeyReused);
         }
         match (call.state, &call.answer) {
-            (CallState::Finished, Some(answer)) => Ok(Begun::Earlier(Earlier::Stored(answer.clone()))),
+            (CallState::Finished, Some(answer)) => {
+                Ok(BeginOutcome::Duplicate(PriorRequest::Stored(answer.clone())))
+            }
             (CallState::Finished, None) => Err(Refusal::WrongState),
-            (CallState::Open, _) if call.attempt == new.attempt => Ok(Begun::Now),
-            (CallState::Open, _) => Ok(Begun::Earlier(Earlier::InProgress(call.attempt))),
-            (CallState::Unknown, _) => self.reopen(index, new),
+            (CallState::Open, _) if call.attempt == new_call.attempt => Ok(BeginOutcome::Started),
+            (CallState::Open, _) => Ok(BeginOutcome::Duplicate(PriorRequest::InProgress(call.attempt))),
+            (CallState::Unknown, _) => self.reopen(index, new_call),
         }
     }
 
-    /// A repeatable call in doubt may be sent again; what the lost attempt may have cost stays charged.
-    fn reopen(&mut self, index: usize, new: &NewCall) -> Result<Begun, Refusal> {
+    /// Reopens the last call if its outcome is unknown and it is repeatable. The reservation of the lost attempt
+    /// stays charged.
+    fn reopen(&mut self, index: usize, new_call: &NewCall) -> Result<BeginOutcome, Refusal> {
         let call = &self.calls[index];
-        let last = index + 1 == self.calls.len();
-        if call.repeatable == Repeatable::No || !last || self.ended {
-            return Ok(Begun::Earlier(Earlier::InDoubt(call.attempt)));
+        let is_last = index + 1 == self.calls.len();
+        if call.repeatable == Repeatable::No || !is_last || self.ended {
+            return Ok(BeginOutcome::Duplicate(PriorRequest::InDoubt(call.attempt)));
         }
-        if self.was_released(new.attempt) {
+        if self.was_released(new_call.attempt) {
             return Err(Refusal::NotYourAttempt);
         }
-        self.reserve(new.reserve)?;
+        self.reserve(new_call.reserve)?;
         let call = &mut self.calls[index];
         call.state = CallState::Open;
-        call.attempt = new.attempt;
-        call.reserve = new.reserve;
-        Ok(Begun::Now)
+        call.attempt = new_call.attempt;
+        call.reserve = new_call.reserve;
+        Ok(BeginOutcome::Started)
     }
 
     fn check_order(&self, number: CallNumber) -> Result<(), Refusal> {
@@ -192,8 +199,8 @@
     }
 
     fn reserve(&mut self, tokens: u64) -> Result<(), Refusal> {
-        if tokens > self.left() {
-            return Err(Refusal::Budget { left: self.left() });
+        if tokens > self.remaining() {
+            return Err(Refusal::Budget { left: self.remaining() });
         }
         self.reserved += tokens;
         Ok(())
@@ -201,7 +208,7 @@
 
     fn was_released(&self, attempt: AttemptId) -> bool {
         let released = self.released.get(&attempt.node);
-        released.is_some_and(|highest| (attempt.incarnation, attempt.sequence) <= *highest)
+        released.is_some_and(|latest| (attempt.incarnation, attempt.sequence) <= *latest)
     }
 
     fn next_call(&self) -> CallNumber {
@@ -236,13 +243,13 @@
         Ok(())
     }
 
-    /// Stores an answer. A call in doubt accepts it too: the doubt is then over.
+    /// Stores an answer. A call with an unknown outcome accepts a late answer.
     pub(super) fn finish(
         &mut self,
         number: CallNumber,
         attempt: AttemptId,
         spent: u64,
-        store: impl FnOnce() -> StoredAnswer,
+        store_answer: impl FnOnce() -> StoredAnswer,
     ) -> Result<(), Refusal> {
         let call = self.call_mut(number)?;
         if call.attempt != attempt {
@@ -250,17 +257,17 @@
         }
         let spent = spent.min(call.reserve);
         let reserve = call.reserve;
-        let before = call.state;
-        if before == CallState::Finished {
+        let previous_state = call.state;
+        if previous_state == CallState::Finished {
             return Ok(());
         }
         call.state = CallState::Finished;
-        call.answer = Some(store());
-        call.charged = match before {
+        call.answer = Some(store_answer());
+        call.charged = match previous_state {
             CallState::Unknown => call.charged - reserve + spent,
             CallState::Open | CallState::Finished => call.charged + spent,
         };
-        match before {
+        match previous_state {
             CallState::Unknown => self.spent = self.spent - reserve + spent,
             CallState::Open | CallState::Finished => self.settle(reserve, spent),
         }
@@ -286,7 +293,7 @@
         let reserve = call.reserve;
         let charged = call.charged;
         if charged > 0 {
-            // An earlier attempt of this call is in doubt, so only this attempt did not run.
+            // The outcome of an earlier attempt is unknown; only this attempt did not run.
             call.state = CallState::Unknown;
             call.reserve = 0;
         } else {
@@ -297,8 +304,8 @@
         Ok(())
     }
 
-    /// Nobody can tell whether the call ran, so the whole reservation counts as spent.
-    pub(super) fn doubt(&mut self, number: CallNumber, attempt: AttemptId) -> Result<(), Refusal> {
+    /// Marks the outcome of a call as unknown and charges its whole reservation.
+    pub(super) fn mark_unknown(&mut self, number: CallNumber, attempt: AttemptId) -> Result<(), Refusal> {
         let call = self.call_mut(number)?;
         if call.attempt != attempt {
             return Err(Refusal::NotYourAttempt);
@@ -330,7 +337,7 @@
         Ok(())
     }
 
-    /// Ends the program and returns what its parent must settle.
+    /// Ends the program and returns its parent with the budget and the tokens spent, for settlement.
     pub(super) fn end(&mut self) -> Result<Option<(ProgramId, u64, u64)>, Refusal> {
         if self.ended {
             return Ok(None);
@@ -347,12 +354,12 @@
         Ok(self.spec.parent.clone().map(|parent| (parent, self.spec.budget, self.spent)))
     }
 
-    pub(super) fn request(&self, key: &RequestKey) -> Option<Earlier> {
+    pub(super) fn find_request(&self, key: &RequestKey) -> Option<PriorRequest> {
         let call = self.calls.iter().rev().find(|call| call.key == *key)?;
         match (call.state, &call.answer) {
-            (CallState::Finished, answer) => answer.clone().map(Earlier::Stored),
-            (CallState::Open, _) => Some(Earlier::InProgress(call.attempt)),
-            (CallState::Unknown, _) => Some(Earlier::InDoubt(call.attempt)),
+            (CallState::Finished, answer) => answer.clone().map(PriorRequest::Stored),
+            (CallState::Open, _) => Some(PriorRequest::InProgress(call.attempt)),
+            (CallState::Unknown, _) => Some(PriorRequest::InDoubt(call.attempt)),
         }
     }
 
@@ -372,22 +379,22 @@
     }
 }
 
-/// Outcome of a `Begin` that was not refused.
+/// Outcome of a `Begin` that is not refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) enum Begun {
-    /// The call is open for the attempt that asked.
-    Now,
-    /// The request was begun earlier.
-    Earlier(Earlier),
+pub(super) enum BeginOutcome {
+    /// The call is open for the attempt of this command.
+    Started,
+    /// A request with the same key was begun earlier.
+    Duplicate(PriorRequest),
 }
 
-/// What became of a request that was begun earlier.
+/// State of a request that was begun earlier.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) enum Earlier {
-    /// It has a stored answer.
+pub(super) enum PriorRequest {
+    /// The call finished with this answer.
     Stored(StoredAnswer),
-    /// It is open for this attempt.
+    /// The call is open for this attempt.
     InProgress(AttemptId),
-    /// Nobody can tell whether this attempt ran.
+    /// It is unknown whether this attempt ran.
     InDoubt(AttemptId),
 }
