--- /dev/null
+++ b/agatetrestle/src/gateway/access_log.rs
@@ -0,0 +1,88 @@
+//! Access log: one line for each request with its outcome and timings; docs/OPERATIONS.md explains the fields.
+
+use std::fmt;
+use std::sync::Arc;
+use std::time::Duration;
+
+use http::StatusCode;
+use log::info;
+
+use crate::gateway::Gateway;
+use crate::ports::Labels;
+use crate::ports::Measure;
+
+/// Logged as the status if the caller received no response.
+pub(super) const NO_STATUS: u16 = 0;
+/// Outcome logged if the caller disconnected before the end of the response.
+pub(super) const CALLER_DISCONNECTED: &str = "the caller left";
+
+/// The fields and timings of a request that are logged when it ends.
+#[derive(Clone, Debug, Default)]
+pub(super) struct AccessLogEntry {
+    pub(super) attempt_id: Arc<str>,
+    /// Version of the route table that the request was matched against.
+    pub(super) version: u64,
+    pub(super) route: Arc<str>,
+    pub(super) service: Arc<str>,
+    /// Name of the caller's team; empty if no team is declared or the key is unknown.
+    pub(super) team: Arc<str>,
+    pub(super) server: Arc<str>,
+    /// Attempts to send the request to a backend server.
+    pub(super) tries: u32,
+    /// Time to reserve the turn.
+    pub(super) reserve_time: Duration,
+    /// Time in the dispatch queue.
+    pub(super) queue_time: Duration,
+    /// Time from arrival to the response head.
+    pub(super) head_time: Duration,
+    /// Time to commit the end of the turn.
+    pub(super) finish_time: Duration,
+}
+
+impl AccessLogEntry {
+    /// Writes the log line and records the metrics of a finished request.
+    pub(super) fn finish(
+        &self,
+        gateway: &Gateway,
+        status: u16,
+        outcome: impl fmt::Display,
+        total_time: Duration,
+    ) {
+        let Self { attempt_id, version, route, service, team, server, tries, .. } = self;
+        self.record_metrics(gateway, status);
+        info!(
+            "request={attempt_id} version={version} route={route} service={service} team={team} \
+             server={server} tries={tries} status={status} outcome=\"{outcome}\" \
+             wait_us={} begin_us={} head_us={} finish_us={} total_us={}",
+            self.queue_time.as_micros(),
+            self.reserve_time.as_micros(),
+            self.head_time.as_micros(),
+            self.finish_time.as_micros(),
+            total_time.as_micros(),
+        );
+    }
+
+    /// Shares its series with the entry for calls: the service is recorded as the partner and the route as the class.
+    fn record_metrics(&self, gateway: &Gateway, status: u16) {
+        let labels = Labels { partner: self.service.clone(), class: self.route.clone() };
+        let record = |measure| gateway.recorder.record(&labels, &measure);
+        record(Measure::QueueWait(self.queue_time));
+        if !self.reserve_time.is_zero() {
+            record(Measure::Commit(self.reserve_time));
+        }
+        if !self.head_time.is_zero() {
+            record(Measure::FirstToken(self.head_time));
+        }
+        for _ in 1..self.tries {
+            record(Measure::Retried("failed"));
+        }
+        match StatusCode::from_u16(status) {
+            Ok(StatusCode::SERVICE_UNAVAILABLE) => record(Measure::Refused("overload")),
+            Ok(StatusCode::TOO_MANY_REQUESTS) => record(Measure::Refused("allowance")),
+            Ok(StatusCode::UNAUTHORIZED) => record(Measure::Refused("key")),
+            Ok(StatusCode::PAYMENT_REQUIRED) => record(Measure::Refused("budget")),
+            Ok(StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT) => record(Measure::Unknown),
+            _ => {}
+        }
+    }
+}
--- a/agatetrestle/src/gateway/attempt.rs
+++ b/agatetrestle/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one backend server, up to the head of the answer.
+//! One attempt to send a request to a backend server, up to the response head.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -18,160 +18,159 @@
 use crate::clock::Timestamp;
 use crate::dispatch::Outcome;
 use crate::gateway::Gateway;
-use crate::gateway::job::Job;
-use crate::gateway::place::Place;
+use crate::gateway::context::RequestContext;
+use crate::gateway::slot::ServerSlot;
 use crate::gateway::wire::ForwardHead;
 use crate::node::peer_link::within;
 use crate::transport::client::Lease;
 use crate::transport::client::Reuse;
 use crate::transport::client::SendError;
 
-/// Share of a route's objective after which a request that may run again is sent to another server, in hundredths. An
-/// answer that is not there by then is late already; some answers are lost, and their servers never say so.
-const NEXT_TRY_PERCENT: u32 = 130;
-/// Share of a stream's objective, in hundredths, before which no server is held to be silent. An answer that begins
-/// later is late already; one that comes a little later is still worth more than another try.
-const SILENCE_PERCENT: u32 = 130;
-/// How often a stream that has not begun is looked at after that.
-const SILENCE_POLL: Duration = Duration::from_millis(50);
+/// Percentage of the route's latency objective after which a retryable request is sent to another server.
+const ATTEMPT_TIMEOUT_PERCENT: u32 = 130;
+/// Percentage of the route's latency objective that must pass before the server of a stream counts as silent.
+const MIN_SILENCE_PERCENT: u32 = 130;
+/// How often a stream that has not started is checked after that.
+const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A server began to answer.
-pub(super) struct Sent {
-    pub(super) place: Place,
+/// A response whose head has arrived.
+pub(super) struct StartedResponse {
+    pub(super) slot: ServerSlot,
     pub(super) lease: Lease,
     pub(super) response: Response<Incoming>,
-    pub(super) at: Timestamp,
+    pub(super) sent_at: Timestamp,
 }
 
-/// Why there is no answer to pass on.
+/// Why an attempt produced no response to forward.
 #[derive(Debug)]
-pub(super) enum Failure {
+pub(super) enum SendFailure {
     /// The server did not run the request.
     NotRun(String),
-    /// Nobody knows whether the server ran it.
+    /// The server may have run the request.
     MayHaveRun(String),
-    /// It was sent, and the caller no longer waits.
-    TooLate,
+    /// The request's deadline passed after it was sent.
+    TimedOut,
 }
 
-/// Sends a request and checks the head of the answer; `last` is set where no other server may be tried after this one.
+/// Sends a request and validates the response head. `is_last` is set if no other server may be tried afterwards.
 pub(super) async fn send(
     gateway: &Rc<Gateway>,
-    job: &Job,
-    mut place: Place,
-    last: bool,
-) -> Result<Sent, Failure> {
-    let Some((instance, address)) = gateway.address(place.server) else {
-        place.release(Outcome::Abandoned);
-        return Err(Failure::NotRun("the server is gone".into()));
+    ctx: &RequestContext,
+    mut slot: ServerSlot,
+    is_last: bool,
+) -> Result<StartedResponse, SendFailure> {
+    let Some((instance, address)) = gateway.address(slot.server) else {
+        slot.release(Outcome::Abandoned);
+        return Err(SendFailure::NotRun("the server is gone".into()));
     };
-    let reuse = if job.route.runs_once() { Reuse::Fresh } else { Reuse::Kept };
+    let reuse = if ctx.route.runs_once() { Reuse::Fresh } else { Reuse::Kept };
     let mut lease = match gateway.client.lease(address, reuse).await {
         Ok(lease) => lease,
-        Err(failure) => {
-            place.release(Outcome::Unreachable);
-            return Err(Failure::NotRun(failure.to_string()));
+        Err(error) => {
+            slot.release(Outcome::Unreachable);
+            return Err(SendFailure::NotRun(error.to_string()));
         }
     };
     let sent_at = gateway.clock.now();
-    place.silent_after = Some(sent_at + job.route.objective);
-    let left = job.until.since(sent_at);
-    let team = job.team.as_ref().map(|team| &*team.name);
-    let head = ForwardHead { time_left: left, instance: &instance, priority: job.server_rank(sent_at), team };
-    let request = request(gateway, job, head);
-    let patience = if last { left } else { left.min(job.route.objective * NEXT_TRY_PERCENT / 100) };
-    let answered = if job.route.is_streaming() {
-        let sending = Sending { gateway, job, at: sent_at, patience };
-        sending.watch(lease.send(request)).await
+    slot.response_due = Some(sent_at + ctx.route.objective);
+    let left = ctx.deadline.since(sent_at);
+    let team = ctx.team.as_ref().map(|team| &*team.name);
+    let head =
+        ForwardHead { time_left: left, instance: &instance, priority: ctx.server_priority(sent_at), team };
+    let request = build_request(gateway, ctx, head);
+    let timeout = if is_last { left } else { left.min(ctx.route.objective * ATTEMPT_TIMEOUT_PERCENT / 100) };
+    let outcome = if ctx.route.is_streaming() {
+        let wait = ResponseWait { gateway, ctx, sent_at, timeout };
+        wait.run(lease.send(request)).await
     } else {
-        within(patience, lease.send(request)).await.map_or(Answered::Late, Answered::Begun)
+        within(timeout, lease.send(request)).await.map_or(SendOutcome::TimedOut, SendOutcome::Started)
     };
-    let response = match answered {
-        Answered::Silent => {
-            place.release(Outcome::Silent);
-            return Err(Failure::MayHaveRun("the server says nothing while others answer".into()));
+    let response = match outcome {
+        SendOutcome::Silent => {
+            slot.release(Outcome::Silent);
+            return Err(SendFailure::MayHaveRun("the server says nothing while others answer".into()));
         }
-        Answered::Late if patience < left => {
-            place.release(Outcome::Failed);
-            return Err(Failure::MayHaveRun("the server was silent for too long".into()));
+        SendOutcome::TimedOut if timeout < left => {
+            slot.release(Outcome::Failed);
+            return Err(SendFailure::MayHaveRun("the server was silent for too long".into()));
         }
-        Answered::Late => {
-            place.release(Outcome::Failed);
-            return Err(Failure::TooLate);
+        SendOutcome::TimedOut => {
+            slot.release(Outcome::Failed);
+            return Err(SendFailure::TimedOut);
         }
-        Answered::Begun(Err(failure @ SendError::Connect { .. })) => {
-            place.release(Outcome::Abandoned);
-            return Err(Failure::NotRun(failure.to_string()));
+        SendOutcome::Started(Err(error @ SendError::Connect { .. })) => {
+            slot.release(Outcome::Abandoned);
+            return Err(SendFailure::NotRun(error.to_string()));
         }
-        Answered::Begun(Err(failure @ SendError::Broken { .. })) => {
-            place.release(Outcome::Failed);
-            return Err(Failure::MayHaveRun(failure.to_string()));
+        SendOutcome::Started(Err(error @ SendError::Broken { .. })) => {
+            slot.release(Outcome::Failed);
+            return Err(SendFailure::MayHaveRun(error.to_string()));
         }
-        Answered::Begun(Ok(response)) => response,
+        SendOutcome::Started(Ok(response)) => response,
     };
-    place.silent_after = None;
-    gateway.dispatch.borrow_mut().begins(gateway.clock.now(), &job.service, sent_at);
-    check(gateway, job, Sent { place, lease, response, at: sent_at })
+    slot.response_due = None;
+    gateway.dispatch.borrow_mut().begins(gateway.clock.now(), &ctx.service, sent_at);
+    check_head(gateway, ctx, StartedResponse { slot, lease, response, sent_at })
 }
 
-/// What came of a sending.
-enum Answered {
-    /// The answer begins, or the connection broke.
-    Begun(Result<Response<Incoming>, SendError>),
-    /// The server is silent while others answer.
+/// How the wait for the response head ended.
+enum SendOutcome {
+    /// The response started, or sending failed.
+    Started(Result<Response<Incoming>, SendError>),
+    /// The server sent nothing while others of its service responded.
     Silent,
-    /// There is no time left.
-    Late,
+    /// The timeout elapsed.
+    TimedOut,
 }
 
-/// A request under way whose answer has not begun.
-struct Sending<'a> {
+/// Waits for the head of a streamed response.
+struct ResponseWait<'a> {
     gateway: &'a Rc<Gateway>,
-    job: &'a Job,
-    at: Timestamp,
-    patience: Duration,
+    ctx: &'a RequestContext,
+    sent_at: Timestamp,
+    timeout: Duration,
 }
 
-impl Sending<'_> {
-    /// Waits for the answer to begin, and gives up once the silence tells of the server. The caller is then told at once,
-    /// so that it may come back and go elsewhere while its program still has time.
-    async fn watch(&self, sending: impl Future<Output = Result<Response<Incoming>, SendError>>) -> Answered {
-        let least = self.job.route.objective * SILENCE_PERCENT / 100;
-        let mut sending = pin!(sending);
-        let mut pause = least.min(self.patience);
+impl ResponseWait<'_> {
+    /// Waits for the response to start. Gives up early on a server that stays silent while others respond, so that the
+    /// caller can retry elsewhere within its program's deadline.
+    async fn run(&self, send: impl Future<Output = Result<Response<Incoming>, SendError>>) -> SendOutcome {
+        let min_silence = self.ctx.route.objective * MIN_SILENCE_PERCENT / 100;
+        let mut send = pin!(send);
+        let mut pause = min_silence.min(self.timeout);
         loop {
-            match select(sending, Timer::after(pause)).await {
-                Either::Left((outcome, _)) => return Answered::Begun(outcome),
-                Either::Right((_, rest)) => sending = rest,
+            match select(send, Timer::after(pause)).await {
+                Either::Left((outcome, _)) => return SendOutcome::Started(outcome),
+                Either::Right((_, pending)) => send = pending,
             }
             let now = self.gateway.clock.now();
-            let left = self.patience.saturating_sub(now.since(self.at));
+            let left = self.timeout.saturating_sub(now.since(self.sent_at));
             if left.is_zero() {
-                return Answered::Late;
+                return SendOutcome::TimedOut;
             }
-            if self.gateway.dispatch.borrow().is_silent(now, &self.job.service, self.at, least) {
-                return Answered::Silent;
+            if self.gateway.dispatch.borrow().is_silent(now, &self.ctx.service, self.sent_at, min_silence) {
+                return SendOutcome::Silent;
             }
-            pause = SILENCE_POLL.min(left);
+            pause = SILENCE_POLL_INTERVAL.min(left);
         }
     }
 }
 
-fn request(gateway: &Gateway, job: &Job, send: ForwardHead<'_>) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(job.body.clone()));
-    *request.method_mut() = job.head.method.clone();
-    // A caller may name the host in the target; the server is sent the path alone, as in any other request.
-    let path = job.head.uri.path_and_query().cloned();
+fn build_request(gateway: &Gateway, ctx: &RequestContext, head: ForwardHead<'_>) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(ctx.body.clone()));
+    *request.method_mut() = ctx.parts.method.clone();
+    // Callers may send the target in absolute form; the server gets it in origin form.
+    let path = ctx.parts.uri.path_and_query().cloned();
     *request.uri_mut() = path.map(Into::into).unwrap_or_default();
-    let mut headers = job.head.headers.clone();
-    drop_connection_headers(&mut headers);
-    gateway.wire.write_forwarded(&mut headers, send);
+    let mut headers = ctx.parts.headers.clone();
+    strip_hop_headers(&mut headers);
+    gateway.wire.write_forwarded(&mut headers, head);
     *request.headers_mut() = headers;
     request
 }
 
-/// Drops what concerns one connection alone, and the framing, which each side makes anew.
-pub(super) fn drop_connection_headers(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers, and the framing headers, which are set anew for each connection.
+pub(super) fn strip_hop_headers(headers: &mut HeaderMap) {
     const NAMES: [&str; 10] = [
         "connection",
         "content-length",
@@ -184,41 +183,45 @@
         "transfer-encoding",
         "upgrade",
     ];
-    let named: Vec<String> = headers
+    let listed: Vec<String> = headers
         .get_all("connection")
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in NAMES.into_iter().chain(named.iter().map(String::as_str)) {
+    for name in NAMES.into_iter().chain(listed.iter().map(String::as_str)) {
         headers.remove(name);
     }
 }
 
-fn check(gateway: &Gateway, job: &Job, sent: Sent) -> Result<Sent, Failure> {
-    let status = sent.response.status();
-    let head = gateway.wire.read_response(sent.response.headers());
-    let server = sent.place.server;
+fn check_head(
+    gateway: &Gateway,
+    ctx: &RequestContext,
+    started: StartedResponse,
+) -> Result<StartedResponse, SendFailure> {
+    let status = started.response.status();
+    let head = gateway.wire.read_response(started.response.headers());
+    let server = started.slot.server;
     if let Some(load) = head.load {
         gateway.dispatch.borrow_mut().observe(gateway.clock.now(), server, load);
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
         gateway.dispatch.borrow_mut().leaving(server);
-        sent.place.release(Outcome::Abandoned);
-        return Err(Failure::NotRun("another instance has the address".into()));
+        started.slot.release(Outcome::Abandoned);
+        return Err(SendFailure::NotRun("another instance has the address".into()));
     }
     if head.not_run {
-        sent.place.release(Outcome::Full);
-        return Err(Failure::NotRun(format!("the server answered {status} without running it")));
+        started.slot.release(Outcome::Full);
+        return Err(SendFailure::NotRun(format!("the server answered {status} without running it")));
     }
-    if head.attempt_id.as_ref() != Some(&job.attempt) {
-        sent.place.release(Outcome::Failed);
-        return Err(Failure::MayHaveRun("the answer belongs to another request".into()));
+    if head.attempt_id.as_ref() != Some(&ctx.attempt_id) {
+        started.slot.release(Outcome::Failed);
+        return Err(SendFailure::MayHaveRun("the answer belongs to another request".into()));
     }
     if !head.signed {
-        sent.place.release(Outcome::Failed);
-        return Err(Failure::MayHaveRun(format!("the server answered {status} without a signature")));
+        started.slot.release(Outcome::Failed);
+        return Err(SendFailure::MayHaveRun(format!("the server answered {status} without a signature")));
     }
-    Ok(sent)
+    Ok(started)
 }
--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -1,19 +1,19 @@
-//! Takes requests of callers, finds a backend server for each and passes the answer on.
+//! Reverse proxy from callers to backend servers.
 //!
-//! The decisions are those of [`crate::routing`], [`crate::dispatch`] and [`crate::turns`]; here they meet sockets.
-//! The way of one request: docs/design/012-a-deployment-of-three-roles.md.
+//! [`crate::routing`], [`crate::dispatch`] and [`crate::turns`] make the decisions; this module does the I/O.
+//! The path of a request: docs/design/012-a-deployment-of-three-roles.md.
 
+mod access_log;
 mod attempt;
-pub mod events;
-mod intake;
-mod job;
-mod place;
+mod body;
+mod context;
 mod relay;
 mod request;
 mod reserve;
+mod slot;
+pub mod sse;
 #[cfg(test)]
 mod tests;
-mod trail;
 pub mod turn;
 pub mod wire;
 
@@ -43,8 +43,8 @@
 use crate::dispatch::Instance;
 use crate::dispatch::Outcome;
 use crate::dispatch::ServerKey;
-use crate::gateway::place::Found;
-use crate::gateway::place::TurnedAway;
+use crate::gateway::slot::Assignment;
+use crate::gateway::slot::DispatchRejection;
 use crate::gateway::turn::TurnClient;
 use crate::gateway::wire::RequestHead;
 use crate::gateway::wire::WireFormat;
@@ -55,60 +55,61 @@
 use crate::transport::client::Client;
 use crate::transport::server::Bounds;
 
-/// How often waiting requests are looked at though nothing happened, and how often it is looked whether any wait. Waking up
-/// costs processor time, and a request seldom waits.
-const TICK: Duration = Duration::from_millis(20);
-const IDLE_TICK: Duration = Duration::from_millis(60);
-/// Time for which a node remembers that it served a turn of a program: pauses between turns are shorter.
-const PROGRAM_MEMORY: Duration = Duration::from_secs(20);
-/// How often old connections are closed.
-const SWEEP_TICKS: u32 = 25;
+/// How often queued requests are reconsidered.
+const QUEUED_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How often the queues are checked while they are empty.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// How long a program counts as started after its last turn here; longer than the usual pause between turns.
+const PROGRAM_TTL: Duration = Duration::from_secs(20);
+/// Polls between two sweeps of idle connections and expired programs.
+const POLLS_PER_SWEEP: u32 = 25;
 
-/// What a gateway is made of.
+/// Dependencies and limits of a gateway.
 pub struct GatewayParts {
-    /// The wire of callers and backend servers.
+    /// Format of the headers and documents on the wire.
     pub wire: Rc<dyn WireFormat>,
-    /// Turns and budgets.
+    /// Client of the state groups, which hold turns and budgets.
     pub turns: Rc<dyn TurnClient>,
-    /// The decisions, with no backend server known.
+    /// Dispatch state without any known backend server.
     pub dispatch: Dispatch,
-    /// Seed of the choices that are drawn by lot.
+    /// Seed of the random choice among a route's services.
     pub seed: u64,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// Bounds on callers, which the table of routes sets.
+    /// Limits on caller connections, updated from the route table.
     pub bounds: Rc<Bounds>,
-    /// Bytes of bodies that may be held at once.
+    /// Total size of request bodies that may be buffered at once.
     pub body_buffer_bytes: usize,
-    /// Where counters and histograms go.
+    /// Recorder of metrics.
     pub recorder: Rc<dyn Recorder>,
-    /// Where tasks run that outlive a request.
+    /// Executor of the tasks that outlive a request.
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
-/// The entry of a deployment.
+/// The gateway of one node.
 pub struct Gateway {
     wire: Rc<dyn WireFormat>,
     turns: Rc<dyn TurnClient>,
     table: RefCell<Option<Rc<RouteTable>>>,
     dispatch: RefCell<Dispatch>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Found>>>,
+    /// Queued requests by ticket.
+    waiters: RefCell<HashMap<u64, oneshot::Sender<Assignment>>>,
     next_ticket: Cell<u64>,
     client: Rc<Client>,
     clock: Clock,
     bounds: Rc<Bounds>,
     random: RefCell<Random>,
-    body_buffer_bytes: Cell<usize>,
+    free_body_bytes: Cell<usize>,
     in_flight: Cell<usize>,
-    /// Programs of which a turn ended whole here, by when that was.
-    programs: RefCell<HashMap<Arc<str>, Timestamp>>,
+    /// When each program last completed a turn here.
+    last_turns: RefCell<HashMap<Arc<str>, Timestamp>>,
     draining: Cell<bool>,
     recorder: Rc<dyn Recorder>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
 impl Gateway {
-    /// A gateway that knows no table and no backend server yet.
+    /// Creates a gateway without a route table or backend servers.
     #[must_use]
     pub fn new(parts: GatewayParts) -> Rc<Self> {
         let GatewayParts {
@@ -127,116 +128,117 @@
             turns,
             table: RefCell::default(),
             dispatch: RefCell::new(dispatch),
-            waiting: RefCell::default(),
+            waiters: RefCell::default(),
             next_ticket: Cell::new(1),
             client: Client::new(&executor, clock),
             clock,
             bounds,
             random: RefCell::new(Random::new(seed)),
-            body_buffer_bytes: Cell::new(body_buffer_bytes),
+            free_body_bytes: Cell::new(body_buffer_bytes),
             in_flight: Cell::new(0),
-            programs: RefCell::default(),
+            last_turns: RefCell::default(),
             draining: Cell::new(false),
             recorder,
             executor,
         })
     }
 
-    /// Lets time pass until the task is dropped.
+    /// Runs the periodic work until the task is dropped.
     pub async fn run(self: Rc<Self>) {
-        let mut ticks = 0_u32;
+        let mut polls = 0_u32;
         loop {
-            let waiting = self.dispatch.borrow().waiting() > 0;
-            Timer::after(if waiting { TICK } else { IDLE_TICK }).await;
-            ticks = ticks.wrapping_add(1);
+            let queued = self.dispatch.borrow().waiting() > 0;
+            Timer::after(if queued { QUEUED_POLL_INTERVAL } else { IDLE_POLL_INTERVAL }).await;
+            polls = polls.wrapping_add(1);
             if self.dispatch.borrow().waiting() > 0 {
                 let decisions = self.dispatch.borrow_mut().tick(self.clock.now());
-                self.carry_out(decisions);
+                self.apply(decisions);
             }
-            if ticks.is_multiple_of(SWEEP_TICKS) {
+            if polls.is_multiple_of(POLLS_PER_SWEEP) {
                 self.client.sweep();
                 let now = self.clock.now();
-                self.programs.borrow_mut().retain(|_, last| now.since(*last) < PROGRAM_MEMORY);
+                self.last_turns.borrow_mut().retain(|_, last| now.since(*last) < PROGRAM_TTL);
             }
         }
     }
 
-    /// Answers one request of a caller.
+    /// Handles a request from a caller.
     pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
-        let _under_way = UnderWay::new(&self);
-        request::answer(&self, request).await
+        let _in_flight = InFlightGuard::new(&self);
+        request::handle(&self, request).await
     }
 
-    /// Whether callers may be sent here: a table is in force, backend servers are known and no stop is planned.
+    /// Whether callers may connect: a route table and backend servers are known, and the gateway is not draining.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let equipped = self.table.borrow().is_some() && self.dispatch.borrow().instances().next().is_some();
-        equipped && !self.draining.get()
+        let configured = self.table.borrow().is_some() && self.dispatch.borrow().instances().next().is_some();
+        configured && !self.draining.get()
     }
 
-    /// Begins a planned stop: callers are asked to connect elsewhere, and every request is still served.
+    /// Asks callers to reconnect elsewhere, while still serving every request.
     pub fn start_draining(&self) {
         self.draining.set(true);
     }
 
-    /// Requests that are being answered.
+    /// Number of requests whose responses are not complete.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Notes that a turn of a program ended whole here.
-    fn note_turn(&self, program: Option<&Arc<str>>) {
+    fn record_turn(&self, program: Option<&Arc<str>>) {
         if let Some(program) = program {
-            self.programs.borrow_mut().insert(program.clone(), self.clock.now());
+            self.last_turns.borrow_mut().insert(program.clone(), self.clock.now());
         }
     }
 
-    /// Whether a turn of the request's program ended whole here lately.
-    fn has_seen(&self, call: &RequestHead) -> bool {
-        call.program.as_ref().is_some_and(|program| self.programs.borrow().contains_key(program))
+    /// Whether the request's program completed a turn here within [`PROGRAM_TTL`].
+    fn has_recent_turn(&self, head: &RequestHead) -> bool {
+        head.program.as_ref().is_some_and(|program| self.last_turns.borrow().contains_key(program))
     }
 
-    fn carry_out(&self, decisions: Vec<Decision>) {
+    fn apply(&self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Send { ticket, server } => self.deliver(ticket, Ok(server)),
                 Decision::Reject { ticket, retry_after, reason } => {
-                    self.deliver(ticket, Err(TurnedAway { retry_after, reason }));
+                    self.deliver(ticket, Err(DispatchRejection { retry_after, reason }));
                 }
                 Decision::Forget { address } => self.client.forget(address),
-                Decision::Suspect { server, until, usual } => self.note_suspect(server, until, usual),
+                Decision::Suspect { server, until, usual } => self.log_suspect(server, until, usual),
             }
         }
     }
 
-    /// Tells a waiter what became of its request. One that is gone has withdrawn it, or gives back what it was given.
-    fn deliver(&self, ticket: u64, found: Found) {
-        let waiter = self.waiting.borrow_mut().remove(&ticket);
+    /// Notifies the waiter of a request. If the waiter is gone, an assigned slot is released.
+    fn deliver(&self, ticket: u64, assignment: Assignment) {
+        let waiter = self.waiters.borrow_mut().remove(&ticket);
         let undelivered = match waiter {
-            Some(waiter) => waiter.send(found).is_err(),
+            Some(waiter) => waiter.send(assignment).is_err(),
             None => true,
         };
-        if undelivered && let Ok(server) = found {
-            self.give_back(server);
+        if undelivered && let Ok(server) = assignment {
+            self.release(server);
         }
     }
 
-    fn note_suspect(&self, server: ServerKey, until: Timestamp, usual: f64) {
+    fn log_suspect(&self, server: ServerKey, until: Timestamp, usual: f64) {
         if let Some((id, address)) = self.address(server) {
-            let rest = until.since(self.clock.now()).as_millis();
-            warn!("server={id} address={address} is suspected: rest_ms={rest} usual_failures={usual:.4}.");
+            let rest_ms = until.since(self.clock.now()).as_millis();
+            warn!(
+                "server={id} address={address} is taken out of rotation: rest_ms={rest_ms} usual_failures={usual:.4}."
+            );
         }
     }
 
-    /// Gives back a place that nobody used.
-    fn give_back(&self, server: ServerKey) {
+    /// Releases a slot that was not used.
+    fn release(&self, server: ServerKey) {
         let now = self.clock.now();
         let decisions = self.dispatch.borrow_mut().finish(now, server, Outcome::Abandoned);
-        self.carry_out(decisions);
+        self.apply(decisions);
     }
 
-    /// Where an instance listens, if it is known.
+    /// Id and address of an instance, if it is known.
     fn address(&self, server: ServerKey) -> Option<(Arc<str>, SocketAddrV4)> {
         let dispatch = self.dispatch.borrow();
         dispatch.instance(server).map(|instance| (instance.id.clone(), instance.address))
@@ -247,36 +249,36 @@
     fn routes(&self, document: &Document) {
         match self.wire.read_table(document.text.as_bytes()) {
             Ok(table) => {
-                info!("Routes of version {} are in force, revision {}.", table.version, document.revision);
+                info!("Applied routes version {}, revision {}.", table.version, document.revision);
                 self.bounds.head.set(table.limits.head);
                 self.bounds.head_time.set(table.limits.head_time);
                 self.bounds.idle.set(table.limits.idle);
                 self.table.replace(Some(Rc::new(table)));
             }
-            // Control accepted it, so this node is of another build; it goes on with the table it has.
-            Err(failure) => warn!("Routes of version {} can't be used here: {failure}.", document.version),
+            // The control group accepted the table, so this node runs another build. It keeps its previous table.
+            Err(error) => warn!("Ignored invalid routes version {}: {error}.", document.version),
         }
     }
 
     fn backends(&self, instances: &[Instance]) {
         let decisions = self.dispatch.borrow_mut().replace_instances(self.clock.now(), instances);
-        self.carry_out(decisions);
-        let leaving = instances.iter().filter(|instance| instance.leaving).count();
-        info!("{} backend servers are listed, {leaving} of them leaving.", instances.len());
+        self.apply(decisions);
+        let draining = instances.iter().filter(|instance| instance.leaving).count();
+        info!("{} backend servers are listed, {draining} of them draining.", instances.len());
     }
 }
 
-/// Counts a request while it is answered; its body may last longer and is counted by the relay.
-pub(crate) struct UnderWay(Rc<Gateway>);
+/// Counts a request as in flight; streamed response bodies hold a guard of their own.
+pub(crate) struct InFlightGuard(Rc<Gateway>);
 
-impl UnderWay {
+impl InFlightGuard {
     pub(crate) fn new(gateway: &Rc<Gateway>) -> Self {
         gateway.in_flight.set(gateway.in_flight.get() + 1);
         Self(gateway.clone())
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
--- a/agatetrestle/src/gateway/relay.rs
+++ b/agatetrestle/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on: whole if it is short, event by event if it is a stream.
+//! Forwards responses to callers: short ones buffered, event streams one event at a time.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,53 +15,52 @@
 use crate::clock::Timestamp;
 use crate::dispatch::Outcome;
 use crate::gateway::Gateway;
-use crate::gateway::UnderWay;
-use crate::gateway::attempt::Sent;
-use crate::gateway::attempt::drop_connection_headers;
-use crate::gateway::events::EventReader;
-use crate::gateway::job::Job;
-use crate::gateway::job::keeping;
-use crate::gateway::place::Place;
-use crate::gateway::trail::CALLER_LEFT;
-use crate::gateway::trail::Trail;
-use crate::gateway::turn::Keeping;
+use crate::gateway::InFlightGuard;
+use crate::gateway::access_log::AccessLogEntry;
+use crate::gateway::access_log::CALLER_DISCONNECTED;
+use crate::gateway::attempt::StartedResponse;
+use crate::gateway::attempt::strip_hop_headers;
+use crate::gateway::context::RequestContext;
+use crate::gateway::context::transcript;
+use crate::gateway::slot::ServerSlot;
+use crate::gateway::sse::SseParser;
 use crate::gateway::turn::OpenTurn;
+use crate::gateway::turn::Transcript;
 use crate::node::peer_link::within;
 use crate::transport::body::AnswerBody;
 use crate::transport::body::Cut;
 use crate::transport::body::Pieces;
 use crate::transport::client::Lease;
 
-/// An answer up to this size is read whole before any of it is passed on, so that one that breaks off can still be
-/// replaced by that of another server.
-const SHORT: usize = 256 << 10;
-/// Bytes of one event beyond which a stream is no stream of events.
-const LONGEST_EVENT: usize = 1 << 20;
+/// Responses up to this size are buffered, so that the request can be retried if one breaks off.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 << 10;
+/// Limit on the size of one server-sent event.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// The body of an answer as it comes from a server, with everything that ends with it.
-struct Flow {
+/// A response body being read, with the resources released when it ends.
+struct ResponseStream {
     gateway: Rc<Gateway>,
-    place: Option<Place>,
+    slot: Option<ServerSlot>,
     lease: Option<Lease>,
     body: Incoming,
     headers: HeaderMap,
-    until: Timestamp,
+    deadline: Timestamp,
     sent_at: Timestamp,
-    arrived: Timestamp,
+    arrived_at: Timestamp,
     status: u16,
     logged: bool,
-    trail: Trail,
-    _under_way: UnderWay,
+    log_entry: AccessLogEntry,
+    _in_flight: InFlightGuard,
 }
 
-/// Why a body ended before its end.
-type Broken = &'static str;
+/// Why a body ended prematurely.
+type BodyError = &'static str;
 
-impl Flow {
-    /// The next bytes, or none at the end of a whole body.
-    async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+impl ResponseStream {
+    /// Returns the next data frame, or `None` at the end of a complete body.
+    async fn next(&mut self) -> Result<Option<Bytes>, BodyError> {
         loop {
-            let left = self.until.since(self.gateway.clock.now());
+            let left = self.deadline.since(self.gateway.clock.now());
             match within(left, self.body.frame()).await {
                 None => return Err("the time of the answer is up"),
                 Some(Some(Err(_))) => return Err("the server broke off"),
@@ -75,155 +74,155 @@
         }
     }
 
-    /// Gives place and connection back after a whole answer.
+    /// Releases the slot and returns the connection to the pool after a complete response.
     fn complete(&mut self) {
         let took = self.gateway.clock.now().since(self.sent_at);
-        if let Some(place) = self.place.take() {
+        if let Some(slot) = self.slot.take() {
             let failed = self.status >= StatusCode::INTERNAL_SERVER_ERROR.as_u16();
-            place.release(if failed { Outcome::Error(took) } else { Outcome::Whole(took) });
+            slot.release(if failed { Outcome::Error(took) } else { Outcome::Whole(took) });
         }
         if let Some(lease) = self.lease.take() {
             self.gateway.client.keep(lease, &self.headers);
         }
     }
 
-    /// Gives the place back and closes the connection, on which more of the answer may come.
+    /// Releases the slot and closes the connection, which may still carry the rest of the response.
     fn fail(&mut self) {
         self.lease = None;
-        if let Some(place) = self.place.take() {
-            place.release(Outcome::Failed);
+        if let Some(slot) = self.slot.take() {
+            slot.release(Outcome::Failed);
         }
     }
 
     fn log(&mut self, outcome: &str) {
         self.logged = true;
-        let took = self.gateway.clock.now().since(self.arrived);
-        self.trail.end(&self.gateway, self.status, outcome, took);
+        let total_time = self.gateway.clock.now().since(self.arrived_at);
+        self.log_entry.finish(&self.gateway, self.status, outcome, total_time);
     }
 }
 
-impl Drop for Flow {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
         if !self.logged {
-            self.log(CALLER_LEFT);
+            self.log(CALLER_DISCONNECTED);
         }
     }
 }
 
-/// Passes an answer on.
+/// Forwards a response.
 ///
 /// # Errors
 ///
-/// Says why a short answer broke off, of which the caller has seen nothing.
-pub(super) async fn answer(
+/// Fails if a buffered response broke off, of which nothing was forwarded.
+pub(super) async fn forward(
     gateway: &Rc<Gateway>,
-    job: &Job,
-    sent: Sent,
+    ctx: &RequestContext,
+    started: StartedResponse,
     turn: &mut Option<OpenTurn>,
-    trail: &Trail,
+    log_entry: &AccessLogEntry,
 ) -> Result<Response<AnswerBody>, String> {
-    let Sent { place, lease, response, at: sent_at } = sent;
+    let StartedResponse { slot, lease, response, sent_at } = started;
     let (mut head, body) = response.into_parts();
     let status = head.status;
     let headers = head.headers.clone();
-    drop_connection_headers(&mut head.headers);
+    strip_hop_headers(&mut head.headers);
     let length = body.size_hint().exact();
-    let flow = Flow {
+    let stream = ResponseStream {
         gateway: gateway.clone(),
-        place: Some(place),
+        slot: Some(slot),
         lease: Some(lease),
         body,
         headers,
-        until: job.until,
+        deadline: ctx.deadline,
         sent_at,
-        arrived: job.arrived,
+        arrived_at: ctx.arrived_at,
         status: status.as_u16(),
         logged: false,
-        trail: trail.clone(),
-        _under_way: UnderWay::new(gateway),
+        log_entry: log_entry.clone(),
+        _in_flight: InFlightGuard::new(gateway),
     };
-    if job.route.is_streaming() && status.is_success() {
-        let stream = EventStream {
-            flow,
-            reader: EventReader::default(),
+    if ctx.route.is_streaming() && status.is_success() {
+        let events = EventStream {
+            response: stream,
+            parser: SseParser::default(),
             turn: turn.take(),
-            keeping: keeping(job),
-            tokens_per_event: job.tokens_per_event,
-            program: job.call.program.clone(),
-            ended: false,
+            transcript: transcript(ctx),
+            tokens_per_event: ctx.tokens_per_event,
+            program: ctx.head.program.clone(),
+            at_end: false,
         };
-        let body = AnswerBody::Pieces(stream.into_pieces(), None);
+        let body = AnswerBody::Pieces(events.into_pieces(), None);
         return Ok(Response::from_parts(head, body));
     }
-    let body = read_short(flow, length).await?;
+    let body = read_buffered(stream, length).await?;
     Ok(Response::from_parts(head, body))
 }
 
-/// Reads a short answer whole; a long one is passed on from where it got long.
-async fn read_short(mut flow: Flow, length: Option<u64>) -> Result<AnswerBody, String> {
-    let mut read = BytesMut::new();
-    while read.len() <= SHORT {
-        match flow.next().await {
-            Ok(Some(data)) => read.extend_from_slice(&data),
+/// Buffers a short response; one that exceeds the limit is streamed instead.
+async fn read_buffered(mut stream: ResponseStream, length: Option<u64>) -> Result<AnswerBody, String> {
+    let mut buffer = BytesMut::new();
+    while buffer.len() <= MAX_BUFFERED_RESPONSE_BYTES {
+        match stream.next().await {
+            Ok(Some(data)) => buffer.extend_from_slice(&data),
             Ok(None) => {
-                flow.complete();
-                flow.log("whole");
-                return Ok(AnswerBody::whole(read.freeze()));
+                stream.complete();
+                stream.log("whole");
+                return Ok(AnswerBody::whole(buffer.freeze()));
             }
             Err(reason) => {
-                flow.fail();
-                // The request may be tried elsewhere; its line comes with what is then answered.
-                flow.logged = true;
+                stream.fail();
+                // The request may be retried, and is logged with its final response.
+                stream.logged = true;
                 return Err(reason.into());
             }
         }
     }
-    let first = read.freeze();
-    let pieces = futures::stream::unfold((flow, Some(first)), |(mut flow, first)| async move {
+    let first = buffer.freeze();
+    let pieces = futures::stream::unfold((stream, Some(first)), |(mut stream, first)| async move {
         if let Some(first) = first {
-            return Some((Ok(first), (flow, None)));
+            return Some((Ok(first), (stream, None)));
         }
-        match flow.next().await {
-            Ok(Some(data)) => Some((Ok(data), (flow, None))),
+        match stream.next().await {
+            Ok(Some(data)) => Some((Ok(data), (stream, None))),
             Ok(None) => {
-                flow.complete();
-                flow.log("whole");
+                stream.complete();
+                stream.log("whole");
                 None
             }
             Err(reason) => {
-                flow.fail();
-                flow.log(reason);
-                Some((Err(Cut), (flow, None)))
+                stream.fail();
+                stream.log(reason);
+                Some((Err(Cut), (stream, None)))
             }
         }
     });
     Ok(AnswerBody::Pieces(Box::pin(pieces), length))
 }
 
-/// A stream of events on its way to a caller.
+/// A response whose body is a stream of server-sent events.
 struct EventStream {
-    flow: Flow,
-    reader: EventReader,
+    response: ResponseStream,
+    parser: SseParser,
     turn: Option<OpenTurn>,
-    keeping: Option<Keeping>,
+    transcript: Option<Transcript>,
     tokens_per_event: u64,
     program: Option<Arc<str>>,
-    ended: bool,
+    at_end: bool,
 }
 
 impl EventStream {
     fn into_pieces(self) -> Pieces {
-        let pieces = futures::stream::unfold(Some(self), |stream| async move {
-            let mut stream = stream?;
-            match stream.next().await {
-                Ok(Some(bytes)) => Some((Ok(bytes), Some(stream))),
+        let pieces = futures::stream::unfold(Some(self), |events| async move {
+            let mut events = events?;
+            match events.next().await {
+                Ok(Some(bytes)) => Some((Ok(bytes), Some(events))),
                 Ok(None) => {
-                    let ended = stream.end().await;
-                    ended.err().map(|cut| (Err(cut), None))
+                    let result = events.finish().await;
+                    result.err().map(|cut| (Err(cut), None))
                 }
                 Err(reason) => {
-                    stream.flow.fail();
-                    stream.flow.log(reason);
+                    events.response.fail();
+                    events.response.log(reason);
                     Some((Err(Cut), None))
                 }
             }
@@ -231,59 +230,59 @@
         Box::pin(pieces)
     }
 
-    /// The next whole event; a part of one is never passed on, unless the stream ends whole with it.
-    async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
-        if self.ended {
+    /// Returns the next event. An incomplete event is forwarded only at the end of a complete stream.
+    async fn next(&mut self) -> Result<Option<Bytes>, BodyError> {
+        if self.at_end {
             return Ok(None);
         }
         loop {
-            if let Some(event) = self.reader.next_event() {
+            if let Some(event) = self.parser.next_event() {
                 if let Some(turn) = &mut self.turn {
-                    turn.spend(self.tokens_per_event);
+                    turn.add_tokens(self.tokens_per_event);
                 }
-                if let (Some(keeping), Some(data)) = (&mut self.keeping, event.data()) {
-                    keeping.text.extend_from_slice(&data);
-                    keeping.text.push(b'\n');
+                if let (Some(transcript), Some(data)) = (&mut self.transcript, event.data()) {
+                    transcript.text.extend_from_slice(&data);
+                    transcript.text.push(b'\n');
                 }
                 return Ok(Some(event.0));
             }
-            if self.reader.pending() > LONGEST_EVENT {
+            if self.parser.buffered_len() > MAX_EVENT_BYTES {
                 return Err("an event is too long");
             }
-            let Some(data) = self.flow.next().await? else {
-                self.ended = true;
-                let rest = std::mem::take(&mut self.reader).rest();
-                return Ok((!rest.is_empty()).then_some(rest));
+            let Some(data) = self.response.next().await? else {
+                self.at_end = true;
+                let remainder = std::mem::take(&mut self.parser).into_remainder();
+                return Ok((!remainder.is_empty()).then_some(remainder));
             };
-            self.reader.push(&data);
+            self.parser.push(&data);
         }
     }
 
-    /// Ends the answer once the turn is kept, if it is to be: from then on the caller may go on from it.
-    async fn end(mut self) -> Result<(), Cut> {
-        self.flow.complete();
-        self.flow.gateway.note_turn(self.program.as_ref());
+    /// Ends the response. A turn to be retained is committed first, so that the caller can continue from it.
+    async fn finish(mut self) -> Result<(), Cut> {
+        self.response.complete();
+        self.response.gateway.record_turn(self.program.as_ref());
         if let Some(turn) = &mut self.turn {
-            turn.note_run(self.flow.gateway.clock.now().since(self.flow.sent_at));
+            turn.record_run_time(self.response.gateway.clock.now().since(self.response.sent_at));
         }
-        let (Some(turn), Some(keeping)) = (self.turn.take(), self.keeping.take()) else {
-            self.flow.log("whole");
+        let (Some(turn), Some(transcript)) = (self.turn.take(), self.transcript.take()) else {
+            self.response.log("whole");
             return Ok(());
         };
-        let asked = self.flow.gateway.clock.now();
-        let kept = within(self.flow.until.since(asked), turn.keep(keeping)).await;
-        self.flow.trail.finish = self.flow.gateway.clock.now().since(asked);
-        match kept {
+        let started_at = self.response.gateway.clock.now();
+        let retained = within(self.response.deadline.since(started_at), turn.retain(transcript)).await;
+        self.response.log_entry.finish_time = self.response.gateway.clock.now().since(started_at);
+        match retained {
             Some(Ok(())) => {
-                self.flow.log("whole and kept");
+                self.response.log("whole and kept");
                 Ok(())
             }
-            Some(Err(failure)) => {
-                self.flow.log(&format!("not kept: {failure}"));
+            Some(Err(error)) => {
+                self.response.log(&format!("not kept: {error}"));
                 Err(Cut)
             }
             None => {
-                self.flow.log("not kept in time");
+                self.response.log("not kept in time");
                 Err(Cut)
             }
         }
--- a/agatetrestle/src/gateway/request.rs
+++ b/agatetrestle/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! The way of one request from its arrival to the head of its answer.
+//! Handles a request from its arrival to the head of its response.
 
 use std::fmt;
 use std::rc::Rc;
@@ -19,18 +19,18 @@
 use crate::dispatch;
 use crate::dispatch::ServerKey;
 use crate::gateway::Gateway;
+use crate::gateway::access_log::AccessLogEntry;
+use crate::gateway::access_log::CALLER_DISCONNECTED;
+use crate::gateway::access_log::NO_STATUS;
 use crate::gateway::attempt;
-use crate::gateway::attempt::Failure;
-use crate::gateway::intake::read_body;
-use crate::gateway::job::COME_BACK;
-use crate::gateway::job::Job;
-use crate::gateway::job::Problem;
-use crate::gateway::place::Place;
+use crate::gateway::attempt::SendFailure;
+use crate::gateway::body::read_body;
+use crate::gateway::context::ErrorResponse;
+use crate::gateway::context::FAILOVER_RETRY_AFTER;
+use crate::gateway::context::RequestContext;
 use crate::gateway::relay;
 use crate::gateway::reserve;
-use crate::gateway::trail::CALLER_LEFT;
-use crate::gateway::trail::NO_STATUS;
-use crate::gateway::trail::Trail;
+use crate::gateway::slot::ServerSlot;
 use crate::gateway::turn::OpenTurn;
 use crate::gateway::wire::RequestHead;
 use crate::routing::Route;
@@ -38,27 +38,27 @@
 use crate::routing::UnknownKey;
 use crate::transport::body::AnswerBody;
 
-/// Servers that may say in turn that they did not run a request before it is turned away.
-const MOST_NOT_RUN: u32 = 4;
-/// Share of a route's objective, as a divisor, that a program may wait before its first turn. Told at once to come back,
-/// it still ends in time if it then gets a place; and what waits longer delays the programs that have begun.
-const PATIENCE_DIVISOR: u32 = 2;
-/// When a caller may come back to an entry that knows no routes yet: after a restart of all, control is back and has told
-/// them some 0.6 s after the entries take connections.
-const COME_BACK_AFTER_START: Duration = Duration::from_millis(600);
+/// Servers that may decline to run a request before it is rejected.
+const MAX_NOT_RUN_ATTEMPTS: u32 = 4;
+/// Divisor of a route's latency objective that bounds the queue wait before a program's first turn. A program rejected
+/// early can still retry in time, and longer waits would delay programs that have started.
+const QUEUE_WAIT_DIVISOR: u32 = 2;
+/// Retry delay while no routes are known; covers a restart of the control replicas.
+const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(600);
 
-/// Answers a request.
-pub(super) async fn answer(gateway: &Rc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
-    let arrived = gateway.clock.now();
-    let mut open = Unanswered { gateway, arrived, trail: Trail::default(), answered: false };
-    let outcome = serve(gateway, request, arrived, &mut open.trail).await;
-    open.answered = true;
-    let mut response = match outcome {
+/// Handles a request. Error responses are logged here, forwarded ones by [`relay`].
+pub(super) async fn handle(gateway: &Rc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+    let arrived_at = gateway.clock.now();
+    let mut guard =
+        DisconnectGuard { gateway, arrived_at, log_entry: AccessLogEntry::default(), completed: false };
+    let result = serve(gateway, request, arrived_at, &mut guard.log_entry).await;
+    guard.completed = true;
+    let mut response = match result {
         Ok(response) => response,
-        Err(problem) => {
-            let took = gateway.clock.now().since(arrived);
-            open.trail.end(gateway, problem.status.as_u16(), &problem.reason, took);
-            write_problem(&problem)
+        Err(error) => {
+            let total_time = gateway.clock.now().since(arrived_at);
+            guard.log_entry.finish(gateway, error.status.as_u16(), &error.reason, total_time);
+            into_response(&error)
         }
     };
     if gateway.draining.get() {
@@ -67,27 +67,27 @@
     response
 }
 
-/// A request on its way to an answer; dropped before that, its caller has gone.
-struct Unanswered<'a> {
+/// Logs the request if it is dropped before its response head is ready, because the caller disconnected.
+struct DisconnectGuard<'a> {
     gateway: &'a Gateway,
-    arrived: Timestamp,
-    trail: Trail,
-    answered: bool,
+    arrived_at: Timestamp,
+    log_entry: AccessLogEntry,
+    completed: bool,
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if !self.answered {
-            let took = self.gateway.clock.now().since(self.arrived);
-            self.trail.end(self.gateway, NO_STATUS, CALLER_LEFT, took);
+        if !self.completed {
+            let total_time = self.gateway.clock.now().since(self.arrived_at);
+            self.log_entry.finish(self.gateway, NO_STATUS, CALLER_DISCONNECTED, total_time);
         }
     }
 }
 
-fn write_problem(problem: &Problem) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(problem.reason.to_string()));
-    *response.status_mut() = problem.status;
-    let seconds = problem.retry_after.map(|after| format!("{:.3}", after.as_secs_f64()));
+fn into_response(error: &ErrorResponse) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::whole(error.reason.to_string()));
+    *response.status_mut() = error.status;
+    let seconds = error.retry_after.map(|delay| format!("{:.3}", delay.as_secs_f64()));
     if let Some(value) = seconds.and_then(|seconds| HeaderValue::from_str(&seconds).ok()) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
@@ -97,171 +97,173 @@
 async fn serve(
     gateway: &Rc<Gateway>,
     request: Request<Incoming>,
-    arrived: Timestamp,
-    trail: &mut Trail,
-) -> Result<Response<AnswerBody>, Problem> {
-    let (head, body) = request.into_parts();
-    let call = read_head(gateway, &head)?;
-    let attempt = call.attempt_id.clone().unwrap_or_default();
-    trail.attempt = attempt.clone();
+    arrived_at: Timestamp,
+    log_entry: &mut AccessLogEntry,
+) -> Result<Response<AnswerBody>, ErrorResponse> {
+    let (parts, body) = request.into_parts();
+    let head = read_head(gateway, &parts)?;
+    let attempt_id = head.attempt_id.clone().unwrap_or_default();
+    log_entry.attempt_id = attempt_id.clone();
     let table = gateway.table.borrow().clone();
-    let table =
-        table.ok_or_else(|| Problem::not_run("no routes are in force here yet", COME_BACK_AFTER_START))?;
-    trail.version = table.version;
-    let route = find_route(&table, &head)?;
-    trail.route = route.name.clone();
-    let team = table.team(&route, call.key.as_ref());
-    let team =
-        team.map_err(|UnknownKey| Problem::new(StatusCode::UNAUTHORIZED, "no team has this key"))?.cloned();
-    trail.team = team.as_ref().map(|team| team.name.clone()).unwrap_or_default();
-    if attempt.is_empty() {
-        return Err(Problem::new(StatusCode::BAD_REQUEST, "the request has no id"));
+    let table = table
+        .ok_or_else(|| ErrorResponse::not_run("no routes are in force here yet", STARTUP_RETRY_AFTER))?;
+    log_entry.version = table.version;
+    let route = find_route(&table, &parts)?;
+    log_entry.route = route.name.clone();
+    let team = table.team(&route, head.key.as_ref());
+    let team = team
+        .map_err(|UnknownKey| ErrorResponse::new(StatusCode::UNAUTHORIZED, "no team has this key"))?
+        .cloned();
+    log_entry.team = team.as_ref().map(|team| team.name.clone()).unwrap_or_default();
+    if attempt_id.is_empty() {
+        return Err(ErrorResponse::new(StatusCode::BAD_REQUEST, "the request has no id"));
     }
-    let patience = call.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let until = arrived + patience;
+    let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = arrived_at + timeout;
     let limit = table.limits.body;
-    let (_held, body) = read_body(gateway, body, limit, until).await?;
+    let (_permit, body) = read_body(gateway, body, limit, deadline).await?;
     let draw = gateway.random.borrow_mut().below(u64::MAX);
     let service = route.pick(draw).clone();
-    trail.service = service.clone();
-    // A call of a tool belongs to a program that has had a turn.
-    let begun = !route.is_streaming() || call.previous_turn.is_some() || gateway.has_seen(&call);
+    log_entry.service = service.clone();
+    // Requests on non-streaming routes are tool calls, which follow the first turn of a program.
+    let program_started =
+        !route.is_streaming() || head.previous_turn.is_some() || gateway.has_recent_turn(&head);
     let declared = table.service(&service).and_then(|service| service.tokens_per_event);
     let tokens_per_event = declared.unwrap_or(1);
-    let job = Job {
+    let ctx = RequestContext {
+        parts,
         head,
-        call,
-        attempt,
+        attempt_id,
         route,
         service,
         team,
         tokens_per_event,
-        arrived,
-        until,
+        arrived_at,
+        deadline,
         body,
-        chain: 0,
-        begun,
+        chain_bytes: 0,
+        program_started,
     };
-    run(gateway, job, trail).await
+    run(gateway, ctx, log_entry).await
 }
 
-fn read_head(gateway: &Gateway, head: &Parts) -> Result<RequestHead, Problem> {
-    if head.headers.get_all(HOST).iter().count() > 1 {
-        return Err(Problem::new(StatusCode::BAD_REQUEST, "the request can be read in two ways"));
+fn read_head(gateway: &Gateway, parts: &Parts) -> Result<RequestHead, ErrorResponse> {
+    if parts.headers.get_all(HOST).iter().count() > 1 {
+        return Err(ErrorResponse::new(StatusCode::BAD_REQUEST, "the request can be read in two ways"));
     }
-    let call = gateway.wire.read_request(&head.headers);
-    call.map_err(|failure| Problem::new(StatusCode::BAD_REQUEST, failure))
+    let head = gateway.wire.read_request(&parts.headers);
+    head.map_err(|error| ErrorResponse::new(StatusCode::BAD_REQUEST, error))
 }
 
-fn find_route(table: &RouteTable, head: &Parts) -> Result<Arc<Route>, Problem> {
-    let named = head.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let host = head.uri.host().or(named).unwrap_or_default();
-    let route = table.find(host, head.uri.path()).cloned();
-    route.ok_or_else(|| Problem::new(StatusCode::NOT_FOUND, "no route takes this host and path"))
+fn find_route(table: &RouteTable, parts: &Parts) -> Result<Arc<Route>, ErrorResponse> {
+    let host_header = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
+    let host = parts.uri.host().or(host_header).unwrap_or_default();
+    let route = table.find(host, parts.uri.path()).cloned();
+    route.ok_or_else(|| ErrorResponse::new(StatusCode::NOT_FOUND, "no route takes this host and path"))
 }
 
-/// How far a request has come with the servers.
+/// Outcomes of the attempts made so far.
 #[derive(Default)]
-struct Progress {
-    /// Servers that had it.
-    avoid: Vec<ServerKey>,
-    /// Servers that said that they did not run it.
+struct RetryState {
+    /// Servers already tried.
+    tried: Vec<ServerKey>,
+    /// Number of servers that declined to run the request.
     not_run: u32,
-    /// Servers that may have run it.
-    ran: u32,
+    /// Number of servers that may have run the request.
+    may_have_run: u32,
 }
 
-impl Progress {
-    /// Notes a sending that came to nothing, and says whether there may be another.
-    fn note(&mut self, job: &Job, failure: Failure) -> Result<(), Problem> {
+impl RetryState {
+    /// Records a failed attempt. Returns the response for the caller if no other attempt is allowed.
+    fn record_failure(&mut self, ctx: &RequestContext, failure: SendFailure) -> Result<(), ErrorResponse> {
         match failure {
-            Failure::TooLate => Err(Problem::new(StatusCode::GATEWAY_TIMEOUT, "no answer in time")),
-            Failure::MayHaveRun(reason) => after_run(job, &mut self.ran, &reason),
-            Failure::NotRun(reason) => {
+            SendFailure::TimedOut => {
+                Err(ErrorResponse::new(StatusCode::GATEWAY_TIMEOUT, "no answer in time"))
+            }
+            SendFailure::MayHaveRun(reason) => {
+                self.may_have_run += 1;
+                if may_retry(ctx, self.may_have_run) {
+                    return Ok(());
+                }
+                Err(ErrorResponse::new(StatusCode::BAD_GATEWAY, reason))
+            }
+            SendFailure::NotRun(reason) => {
                 self.not_run += 1;
-                if self.not_run < MOST_NOT_RUN {
+                if self.not_run < MAX_NOT_RUN_ATTEMPTS {
                     return Ok(());
                 }
-                Err(self.give_up(reason, COME_BACK))
+                Err(self.give_up(reason, FAILOVER_RETRY_AFTER))
             }
         }
     }
 
-    /// The answer where no server is left: a promise that the request was not run, if that is true.
-    fn give_up(&self, reason: impl fmt::Display, retry_after: Duration) -> Problem {
-        match self.ran {
-            0 => Problem::not_run(reason, retry_after),
-            _ => Problem::new(StatusCode::BAD_GATEWAY, reason),
+    /// The response if no server is left: one that is safe to retry, unless a server may have run the request.
+    fn give_up(&self, reason: impl fmt::Display, retry_after: Duration) -> ErrorResponse {
+        match self.may_have_run {
+            0 => ErrorResponse::not_run(reason, retry_after),
+            _ => ErrorResponse::new(StatusCode::BAD_GATEWAY, reason),
         }
     }
 }
 
-/// Tries servers until one answers, the request must not be sent again, or time is up.
+/// Tries servers until one responds, a retry is not allowed, or the deadline passes.
 async fn run(
     gateway: &Rc<Gateway>,
-    mut job: Job,
-    trail: &mut Trail,
-) -> Result<Response<AnswerBody>, Problem> {
-    let mut progress = Progress::default();
+    mut ctx: RequestContext,
+    log_entry: &mut AccessLogEntry,
+) -> Result<Response<AnswerBody>, ErrorResponse> {
+    let mut retries = RetryState::default();
     let mut turn: Option<OpenTurn> = None;
-    let mut reserved = !reserve::needs_turn(&job);
+    let mut reserved = !reserve::needs_turn(&ctx);
     if reserved {
-        reserve::take(gateway, &job).await?;
+        reserve::charge_team(gateway, &ctx).await?;
     }
     loop {
-        let asked = gateway.clock.now();
-        let place = Place::find(gateway, wanted(&job, asked, &progress.avoid)).await;
-        let place = place.map_err(|away| progress.give_up(format!("{:?}", away.reason), away.retry_after))?;
-        let found = gateway.clock.now();
-        trail.wait += found.since(asked);
+        let queued_at = gateway.clock.now();
+        let slot = ServerSlot::acquire(gateway, dispatch_request(&ctx, queued_at, &retries.tried)).await;
+        let slot = slot
+            .map_err(|rejection| retries.give_up(format!("{:?}", rejection.reason), rejection.retry_after))?;
+        let assigned_at = gateway.clock.now();
+        log_entry.queue_time += assigned_at.since(queued_at);
         if !reserved {
-            turn = Some(reserve::begin(gateway, &mut job).await?);
-            trail.begin = gateway.clock.now().since(found);
+            turn = Some(reserve::reserve_turn(gateway, &mut ctx).await?);
+            log_entry.reserve_time = gateway.clock.now().since(assigned_at);
             reserved = true;
         }
-        trail.tries += 1;
-        progress.avoid.push(place.server);
-        trail.server = gateway.address(place.server).map(|(id, _)| id).unwrap_or_default();
-        let last = !may_run_again(&job, progress.ran + 1);
-        let failure = match attempt::send(gateway, &job, place, last).await {
-            Ok(sent) => {
-                trail.head = gateway.clock.now().since(job.arrived);
-                match relay::answer(gateway, &job, sent, &mut turn, trail).await {
+        log_entry.tries += 1;
+        retries.tried.push(slot.server);
+        log_entry.server = gateway.address(slot.server).map(|(id, _)| id).unwrap_or_default();
+        let is_last = !may_retry(&ctx, retries.may_have_run + 1);
+        let failure = match attempt::send(gateway, &ctx, slot, is_last).await {
+            Ok(started) => {
+                log_entry.head_time = gateway.clock.now().since(ctx.arrived_at);
+                match relay::forward(gateway, &ctx, started, &mut turn, log_entry).await {
                     Ok(response) => return Ok(response),
-                    Err(reason) => Failure::MayHaveRun(reason),
+                    Err(reason) => SendFailure::MayHaveRun(reason),
                 }
             }
             Err(failure) => failure,
         };
-        progress.note(&job, failure)?;
-    }
-}
-
-/// Whether a request that may have run may be sent again.
-fn after_run(job: &Job, ran: &mut u32, reason: &str) -> Result<(), Problem> {
-    *ran += 1;
-    if !may_run_again(job, *ran) {
-        return Err(Problem::new(StatusCode::BAD_GATEWAY, reason));
+        retries.record_failure(&ctx, failure)?;
     }
-    Ok(())
 }
 
-/// Whether a request may be sent to one more server after it may have run on this many.
-fn may_run_again(job: &Job, ran: u32) -> bool {
-    !job.route.runs_once() && !job.route.is_streaming() && ran < job.route.max_attempts
+/// Whether another server may be tried after this many may have run the request.
+fn may_retry(ctx: &RequestContext, may_have_run: u32) -> bool {
+    !ctx.route.runs_once() && !ctx.route.is_streaming() && may_have_run < ctx.route.max_attempts
 }
 
-fn wanted(job: &Job, now: Timestamp, avoid: &[ServerKey]) -> dispatch::Request {
-    let finish_in = job.call.finish_in.unwrap_or_else(|| job.until.since(now));
+fn dispatch_request(ctx: &RequestContext, now: Timestamp, tried: &[ServerKey]) -> dispatch::Request {
+    let finish_in = ctx.head.finish_in.unwrap_or_else(|| ctx.deadline.since(now));
     dispatch::Request {
         ticket: 0,
-        service: job.service.clone(),
-        priority: job.priority(),
-        begun: job.begun,
-        patience: job.route.objective / PATIENCE_DIVISOR,
-        deadline: job.until,
-        finish_by: job.arrived + finish_in,
-        affinity: job.call.affinity.filter(|_| job.route.sticky),
-        avoid: avoid.to_vec(),
+        service: ctx.service.clone(),
+        priority: ctx.priority(),
+        begun: ctx.program_started,
+        patience: ctx.route.objective / QUEUE_WAIT_DIVISOR,
+        deadline: ctx.deadline,
+        finish_by: ctx.arrived_at + finish_in,
+        affinity: ctx.head.affinity.filter(|_| ctx.route.sticky),
+        avoid: tried.to_vec(),
     }
 }
--- a/agatetrestle/src/gateway/reserve.rs
+++ b/agatetrestle/src/gateway/reserve.rs
@@ -1,4 +1,4 @@
-//! What the state groups are asked before a request is sent: a turn of its program, and a request of its team's account.
+//! Reserves turns and charges team allowances at the state groups before a request is sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,9 +7,9 @@
 use http::StatusCode;
 
 use crate::gateway::Gateway;
-use crate::gateway::job::COME_BACK;
-use crate::gateway::job::Job;
-use crate::gateway::job::Problem;
+use crate::gateway::context::ErrorResponse;
+use crate::gateway::context::FAILOVER_RETRY_AFTER;
+use crate::gateway::context::RequestContext;
 use crate::gateway::turn::OpenTurn;
 use crate::node::peer_link::within;
 use crate::ports::GroupError;
@@ -19,94 +19,98 @@
 use crate::turns::command::TurnCommand;
 use crate::turns::command::TurnReply;
 
-/// Whether the state group has to know of a request: it spends from a budget or goes on from a turn.
-pub(super) fn needs_turn(job: &Job) -> bool {
-    let counted = job.call.token_budget.is_some() || job.route.retention.is_some();
-    job.route.is_streaming() && job.call.program.is_some() && counted
+/// Whether a request has to reserve a turn, because it has a token budget or its route retains turns.
+pub(super) fn needs_turn(ctx: &RequestContext) -> bool {
+    let tracked = ctx.head.token_budget.is_some() || ctx.route.retention.is_some();
+    ctx.route.is_streaming() && ctx.head.program.is_some() && tracked
 }
 
-/// Whether a request counts against the allowance of its team.
-fn is_limited(job: &Job) -> bool {
-    job.team.as_ref().is_some_and(|team| team.allowance.is_some())
+fn has_allowance(ctx: &RequestContext) -> bool {
+    ctx.team.as_ref().is_some_and(|team| team.allowance.is_some())
 }
 
-/// Takes a request that is no turn from its team's account.
-pub(super) async fn take(gateway: &Rc<Gateway>, job: &Job) -> Result<(), Problem> {
-    if !is_limited(job) {
+/// Charges the team's allowance for a request that reserves no turn.
+pub(super) async fn charge_team(gateway: &Rc<Gateway>, ctx: &RequestContext) -> Result<(), ErrorResponse> {
+    if !has_allowance(ctx) {
         return Ok(());
     }
     let command =
-        TurnCommand::Take(Take { team: job.team_name(), program: job.call.program.clone(), begins: false });
-    let left = job.until.since(gateway.clock.now());
+        TurnCommand::Take(Take { team: ctx.team_name(), program: ctx.head.program.clone(), begins: false });
+    let left = ctx.deadline.since(gateway.clock.now());
     let reply = within(left, gateway.turns.commit(command)).await;
     match reply.unwrap_or_else(|| Err(GroupError::NotProposed { reason: "no account answers".into() })) {
         Ok(TurnReply::Taken) => Ok(()),
-        Ok(reply) => Err(refusal(&reply)),
-        Err(failure) => Err(Problem::not_run(failure, COME_BACK)),
+        Ok(reply) => Err(error_response(&reply)),
+        Err(error) => Err(ErrorResponse::not_run(error, FAILOVER_RETRY_AFTER)),
     }
 }
 
-/// Reserves the turn and puts what it goes on from before what the caller sent.
-pub(super) async fn begin(gateway: &Rc<Gateway>, job: &mut Job) -> Result<OpenTurn, Problem> {
+/// Reserves a turn and prepends the text of the turns that it continues to the request body.
+pub(super) async fn reserve_turn(
+    gateway: &Rc<Gateway>,
+    ctx: &mut RequestContext,
+) -> Result<OpenTurn, ErrorResponse> {
     let opening = Opening {
-        service: job.service.clone(),
-        route: job.route.name.clone(),
-        places: gateway.dispatch.borrow().places(&job.service),
-        charge: is_limited(job),
-        patience: millis(job.until.since(gateway.clock.now())),
-        finish_in: job.call.finish_in.map(millis),
-        begins: !job.begun,
+        service: ctx.service.clone(),
+        route: ctx.route.name.clone(),
+        places: gateway.dispatch.borrow().places(&ctx.service),
+        charge: has_allowance(ctx),
+        patience: millis(ctx.deadline.since(gateway.clock.now())),
+        finish_in: ctx.head.finish_in.map(millis),
+        begins: !ctx.program_started,
     };
-    let reservation = Begin {
-        program: job.call.program.clone().unwrap_or_default(),
-        team: job.team_name(),
-        turn: job.attempt.clone(),
-        budget: job.call.token_budget,
-        most: job.call.max_tokens.unwrap_or(0),
-        previous: job.call.previous_turn.clone().filter(|_| job.route.retention.is_some()),
+    let begin = Begin {
+        program: ctx.head.program.clone().unwrap_or_default(),
+        team: ctx.team_name(),
+        turn: ctx.attempt_id.clone(),
+        budget: ctx.head.token_budget,
+        most: ctx.head.max_tokens.unwrap_or(0),
+        previous: ctx.head.previous_turn.clone().filter(|_| ctx.route.retention.is_some()),
         carried: Vec::new(),
         opening: Some(opening),
     };
-    let (turn, reply) = OpenTurn::begin(gateway, reservation).await;
+    let (turn, reply) = OpenTurn::reserve(gateway, begin).await;
     match reply {
         Ok(TurnReply::Begun { chain }) => {
-            job.chain = chain.iter().map(|text| text.len()).sum();
-            let mut body = BytesMut::with_capacity(job.chain + job.body.len());
+            ctx.chain_bytes = chain.iter().map(|text| text.len()).sum();
+            let mut body = BytesMut::with_capacity(ctx.chain_bytes + ctx.body.len());
             for text in &chain {
                 body.extend_from_slice(text);
             }
-            body.extend_from_slice(&job.body);
-            job.body = body.freeze();
+            body.extend_from_slice(&ctx.body);
+            ctx.body = body.freeze();
             Ok(turn)
         }
         Ok(reply) => {
-            turn.forget();
-            Err(refusal(&reply))
+            turn.discard();
+            Err(error_response(&reply))
         }
-        // The reservation may stand, so the turn is settled when it is dropped.
-        Err(failure @ (GroupError::NotProposed { .. } | GroupError::Unknown { .. })) => {
-            Err(Problem::not_run(failure, COME_BACK))
+        // The reservation may have taken effect, so dropping the turn settles it.
+        Err(error @ (GroupError::NotProposed { .. } | GroupError::Unknown { .. })) => {
+            Err(ErrorResponse::not_run(error, FAILOVER_RETRY_AFTER))
         }
     }
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// What a caller is told where the state group lets nothing be sent.
-fn refusal(reply: &TurnReply) -> Problem {
+/// Maps a state group's refusal to the response for the caller.
+fn error_response(reply: &TurnReply) -> ErrorResponse {
     match reply {
-        TurnReply::Spent => Problem::new(StatusCode::PAYMENT_REQUIRED, "the budget of the program is spent"),
-        TurnReply::NoSuchTurn => Problem::new(StatusCode::NOT_FOUND, "there is no such previous turn"),
+        TurnReply::Spent => {
+            ErrorResponse::new(StatusCode::PAYMENT_REQUIRED, "the budget of the program is spent")
+        }
+        TurnReply::NoSuchTurn => ErrorResponse::new(StatusCode::NOT_FOUND, "there is no such previous turn"),
         TurnReply::Over(millis) => {
             let retry_after = Some(Duration::from_millis(*millis));
             let reason = "the team has sent as much as it may";
-            Problem { retry_after, ..Problem::new(StatusCode::TOO_MANY_REQUESTS, reason) }
+            ErrorResponse { retry_after, ..ErrorResponse::new(StatusCode::TOO_MANY_REQUESTS, reason) }
         }
         TurnReply::Crowded(millis) => {
-            Problem::not_run("no program may begin now", Duration::from_millis(*millis))
+            ErrorResponse::not_run("no program may begin now", Duration::from_millis(*millis))
         }
-        reply => Problem::not_run(format!("the state group answered {reply:?}"), COME_BACK),
+        reply => ErrorResponse::not_run(format!("the state group answered {reply:?}"), FAILOVER_RETRY_AFTER),
     }
 }
--- /dev/null
+++ b/agatetrestle/src/gateway/slot.rs
@@ -0,0 +1,99 @@
+//! Slots of backend servers, from the dispatch decision to their release.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use futures::channel::oneshot;
+
+use crate::clock::Timestamp;
+use crate::dispatch::Outcome;
+use crate::dispatch::Reason;
+use crate::dispatch::Request;
+use crate::dispatch::ServerKey;
+use crate::gateway::Gateway;
+
+/// A slot held by a request. Dropping it unreleased counts as silence of the server if the response is overdue, else
+/// as abandoned by this node.
+pub(super) struct ServerSlot {
+    gateway: Rc<Gateway>,
+    pub(super) server: ServerKey,
+    released: bool,
+    /// When the response head is due, until it arrives.
+    pub(super) response_due: Option<Timestamp>,
+}
+
+/// Why dispatch rejected a request.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct DispatchRejection {
+    pub(super) retry_after: Duration,
+    pub(super) reason: Reason,
+}
+
+/// The result of dispatching one request.
+pub(super) type Assignment = Result<ServerKey, DispatchRejection>;
+
+/// A queued request. Dropping it withdraws the request, or releases the slot if one was already assigned.
+struct QueuedRequest {
+    gateway: Rc<Gateway>,
+    ticket: u64,
+    assignment: oneshot::Receiver<Assignment>,
+}
+
+impl Drop for QueuedRequest {
+    fn drop(&mut self) {
+        self.gateway.waiters.borrow_mut().remove(&self.ticket);
+        match self.assignment.try_recv() {
+            Ok(Some(Ok(server))) => self.gateway.release(server),
+            Ok(Some(Err(_))) => {}
+            _ => self.gateway.dispatch.borrow_mut().withdraw(self.ticket),
+        }
+    }
+}
+
+impl ServerSlot {
+    /// Queues the request until [`crate::dispatch`] assigns a slot or rejects it.
+    pub(super) async fn acquire(
+        gateway: &Rc<Gateway>,
+        mut request: Request,
+    ) -> Result<Self, DispatchRejection> {
+        let ticket = gateway.next_ticket.get();
+        gateway.next_ticket.set(ticket + 1);
+        request.ticket = ticket;
+        let (tx, assignment) = oneshot::channel();
+        gateway.waiters.borrow_mut().insert(ticket, tx);
+        let mut queued = QueuedRequest { gateway: gateway.clone(), ticket, assignment };
+        let decisions = gateway.dispatch.borrow_mut().submit(gateway.clock.now(), request);
+        gateway.apply(decisions);
+        match (&mut queued.assignment).await {
+            Ok(assignment) => {
+                let server = assignment?;
+                Ok(Self { gateway: gateway.clone(), server, released: false, response_due: None })
+            }
+            Err(oneshot::Canceled) => {
+                Err(DispatchRejection { retry_after: Duration::from_millis(100), reason: Reason::QueueFull })
+            }
+        }
+    }
+
+    /// Releases the slot and reports how the attempt ended.
+    pub(super) fn release(mut self, outcome: Outcome) {
+        self.finish(outcome);
+    }
+
+    fn finish(&mut self, outcome: Outcome) {
+        if std::mem::replace(&mut self.released, true) {
+            return;
+        }
+        let now = self.gateway.clock.now();
+        let decisions = self.gateway.dispatch.borrow_mut().finish(now, self.server, outcome);
+        self.gateway.apply(decisions);
+    }
+}
+
+impl Drop for ServerSlot {
+    fn drop(&mut self) {
+        let now = self.gateway.clock.now();
+        let silent = self.response_due.is_some_and(|due| now > due);
+        self.finish(if silent { Outcome::Silent } else { Outcome::Abandoned });
+    }
+}
--- a/agatetrestle/src/gateway/tests.rs
+++ b/agatetrestle/src/gateway/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the pieces of the gateway that need no socket.
+//! Tests of the parser for server-sent events and of request priorities.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,43 +7,43 @@
 use proptest::prelude::*;
 
 use crate::clock::Timestamp;
-use crate::gateway::events::EventReader;
-use crate::gateway::job::Job;
+use crate::gateway::context::RequestContext;
+use crate::gateway::sse::SseParser;
 use crate::gateway::wire::RequestHead;
 use crate::routing::Route;
 use crate::routing::RouteKind;
 use crate::routing::Team;
 
-fn events(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>) {
-    let mut reader = EventReader::default();
+fn parse(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>) {
+    let mut parser = SseParser::default();
     let mut events = Vec::new();
     for piece in pieces {
-        reader.push(piece);
-        while let Some(event) = reader.next_event() {
+        parser.push(piece);
+        while let Some(event) = parser.next_event() {
             events.push(event.0.to_vec());
         }
     }
-    (events, reader.rest().to_vec())
+    (events, parser.into_remainder().to_vec())
 }
 
 #[test]
-fn events_end_with_an_empty_line_of_either_kind() {
-    let (whole, rest) = events(&[b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda"]);
-    assert_eq!(whole, [b"id: 1\ndata: a\n\n".to_vec(), b"id: 2\r\ndata: b\r\n\r\n".to_vec()]);
-    assert_eq!(rest, b"id: 3\nda");
+fn splits_events_at_empty_lines() {
+    let (events, remainder) = parse(&[b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda"]);
+    assert_eq!(events, [b"id: 1\ndata: a\n\n".to_vec(), b"id: 2\r\ndata: b\r\n\r\n".to_vec()]);
+    assert_eq!(remainder, b"id: 3\nda");
 }
 
 #[test]
-fn the_data_of_an_event_is_that_of_its_data_lines() {
-    let mut reader = EventReader::default();
-    reader.push(b"weights: 3\nid: 1\ndata: one\ndata:two\n\nid: 2\n\n");
-    assert_eq!(reader.next_event().and_then(|event| event.data()), Some(b"one\ntwo".to_vec()));
-    assert_eq!(reader.next_event().and_then(|event| event.data()), None);
+fn joins_data_lines_of_an_event() {
+    let mut parser = SseParser::default();
+    parser.push(b"weights: 3\nid: 1\ndata: one\ndata:two\n\nid: 2\n\n");
+    assert_eq!(parser.next_event().and_then(|event| event.data()), Some(b"one\ntwo".to_vec()));
+    assert_eq!(parser.next_event().and_then(|event| event.data()), None);
 }
 
 proptest! {
     #[test]
-    fn every_cut_gives_the_same_events_and_loses_no_byte(
+    fn parses_the_same_events_however_the_stream_is_split(
         text in "(id: [0-9]\n|data: [a-c]{0,3}\n|\n|\r\n){0,12}",
         cuts in prop::collection::vec(0_usize..80, 0..6),
     ) {
@@ -52,15 +52,19 @@
         ends.extend([0, bytes.len()]);
         ends.sort_unstable();
         let pieces: Vec<&[u8]> = ends.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect();
-        let (whole, rest) = events(&pieces);
-        prop_assert_eq!((whole.clone(), rest.clone()), events(&[bytes]));
-        prop_assert_eq!([whole.concat(), rest].concat(), bytes);
+        let (events, remainder) = parse(&pieces);
+        prop_assert_eq!((events.clone(), remainder.clone()), parse(&[bytes]));
+        prop_assert_eq!([events.concat(), remainder].concat(), bytes);
     }
 }
 
-/// A turn of a program that has so many milliseconds left, on a route and of a team of some rank.
-fn job(route: u8, team: Option<u8>, begun: bool, left: Option<u64>) -> Job {
-    let rank = route;
+/// A request with the given priorities of its route and team, whose program has `left_ms` until its deadline.
+fn request(
+    route_priority: u8,
+    team_priority: Option<u8>,
+    program_started: bool,
+    left_ms: Option<u64>,
+) -> RequestContext {
     let route = Route {
         name: "r".into(),
         host: "app.example".into(),
@@ -68,44 +72,47 @@
         kind: RouteKind::Streaming { resumable: false },
         timeout: Duration::from_secs(3),
         objective: Duration::from_millis(200),
-        priority: rank,
+        priority: route_priority,
         targets: Vec::new(),
         max_attempts: 1,
         retention: None,
         sticky: true,
         public: false,
     };
-    let team =
-        team.map(|priority| Arc::new(Team { name: "t".into(), keys: Vec::new(), priority, allowance: None }));
-    Job {
-        head: http::Request::new(()).into_parts().0,
-        call: RequestHead { finish_in: left.map(Duration::from_millis), ..RequestHead::default() },
-        attempt: "a".into(),
+    let team = team_priority
+        .map(|priority| Arc::new(Team { name: "t".into(), keys: Vec::new(), priority, allowance: None }));
+    RequestContext {
+        parts: http::Request::new(()).into_parts().0,
+        head: RequestHead { finish_in: left_ms.map(Duration::from_millis), ..RequestHead::default() },
+        attempt_id: "a".into(),
         route: Arc::new(route),
         service: "s".into(),
         team,
         tokens_per_event: 1,
-        arrived: Timestamp(0),
-        until: Timestamp(3_000_000),
+        arrived_at: Timestamp(0),
+        deadline: Timestamp(3_000_000),
         body: Bytes::new(),
-        chain: 0,
-        begun,
+        chain_bytes: 0,
+        program_started,
     }
 }
 
 #[test]
-fn a_teams_rank_goes_before_its_routes_and_what_is_late_goes_last() {
-    let rank = |job: &Job| (job.priority(), job.server_rank(Timestamp(1_000)));
+fn orders_by_team_then_route_and_puts_late_programs_last() {
+    let priorities = |ctx: &RequestContext| (ctx.priority(), ctx.server_priority(Timestamp(1_000)));
     let order = [
-        job(0, Some(0), true, Some(500)),
-        job(0, Some(0), false, Some(500)),
-        job(1, Some(0), true, None),
-        job(0, Some(1), true, Some(500)),
-        job(1, Some(1), true, Some(500)),
+        request(0, Some(0), true, Some(500)),
+        request(0, Some(0), false, Some(500)),
+        request(1, Some(0), true, None),
+        request(0, Some(1), true, Some(500)),
+        request(1, Some(1), true, Some(500)),
     ];
-    let ranks: Vec<(u8, u8)> = order.iter().map(rank).collect();
-    assert!(ranks.windows(2).all(|pair| pair[0].0 <= pair[1].0 && pair[0].1 < pair[1].1), "{ranks:?}");
-    assert_eq!(rank(&job(0, Some(0), true, Some(1))).1, 9, "its time is up");
-    assert_eq!([0, 1, 7].map(|route| job(route, None, false, None).server_rank(Timestamp(0))), [1, 3, 9]);
-    assert!(rank(&job(255, Some(255), true, None)).1 == 9, "no rank is beyond what a server knows");
+    let found: Vec<(u8, u8)> = order.iter().map(priorities).collect();
+    assert!(found.windows(2).all(|pair| pair[0].0 <= pair[1].0 && pair[0].1 < pair[1].1), "{found:?}");
+    assert_eq!(priorities(&request(0, Some(0), true, Some(1))).1, 9, "the program's deadline has passed");
+    assert_eq!(
+        [0, 1, 7].map(|route| request(route, None, false, None).server_priority(Timestamp(0))),
+        [1, 3, 9]
+    );
+    assert!(priorities(&request(255, Some(255), true, None)).1 == 9, "capped at the lowest server priority");
 }
--- a/agatetrestle/src/gateway/turn.rs
+++ b/agatetrestle/src/gateway/turn.rs
@@ -1,4 +1,4 @@
-//! The part of a request that the state group knows of: its reservation, and what is kept of it.
+//! Reserves a program's turn at its state group, and settles and retains it when it ends.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,71 +17,71 @@
 use crate::turns::command::TurnName;
 use crate::turns::command::TurnReply;
 
-/// The state group as a gateway sees it.
+/// Commits turn commands to the state groups.
 pub trait TurnClient {
-    /// Commits a command and returns its reply.
+    /// Commits a command to the group of its program or team.
     fn commit(&self, command: TurnCommand) -> LocalBoxFuture<'static, Result<TurnReply, GroupError>>;
 }
 
-/// A turn that has begun. Dropped before its end it is settled with what was handed out by then.
+/// A reserved turn. Dropping it unsettled settles it in the background with the tokens delivered so far.
 pub struct OpenTurn {
     gateway: Rc<Gateway>,
     program: Arc<str>,
     team: Arc<str>,
     name: TurnName,
     spent: u64,
-    ran: Option<u64>,
+    run_ms: Option<u64>,
     settled: bool,
 }
 
-/// What is kept of a turn.
+/// The text of a turn that later turns can continue from.
 #[derive(Clone, Debug)]
-pub struct Keeping {
-    /// The turn that it went on from.
+pub struct Transcript {
+    /// The turn that this one continued.
     pub previous: Option<TurnName>,
-    /// For how many milliseconds it is kept.
-    pub retention: u64,
-    /// What the caller sent, and what was generated so far.
+    /// How long the transcript is retained.
+    pub retention_ms: u64,
+    /// The caller's text followed by the text generated so far.
     pub text: Vec<u8>,
 }
 
 impl OpenTurn {
-    /// Reserves a turn's tokens and returns what it goes on from. Whatever the reply, and also where it is unknown, the
-    /// turn that is returned must be kept until the request ended, since the reservation may stand.
-    pub async fn begin(gateway: &Rc<Gateway>, begin: Begin) -> (Self, Result<TurnReply, GroupError>) {
+    /// Reserves a turn's tokens and fetches the turns that it continues. The caller must hold the returned turn until the
+    /// request ends whatever the reply is, since the reservation may have taken effect.
+    pub async fn reserve(gateway: &Rc<Gateway>, begin: Begin) -> (Self, Result<TurnReply, GroupError>) {
         let turn = Self {
             gateway: gateway.clone(),
             program: begin.program.clone(),
             team: begin.team.clone(),
             name: begin.turn.clone(),
             spent: 0,
-            ran: None,
+            run_ms: None,
             settled: false,
         };
         let reply = gateway.turns.commit(TurnCommand::Begin(begin)).await;
         (turn, reply)
     }
 
-    /// Counts tokens that were handed to the caller.
-    pub fn spend(&mut self, tokens: u64) {
+    /// Counts tokens delivered to the caller.
+    pub fn add_tokens(&mut self, tokens: u64) {
         self.spent += tokens;
     }
 
-    /// Notes how long the turn took at the server that ran it whole.
-    pub fn note_run(&mut self, took: Duration) {
-        self.ran = u64::try_from(took.as_millis()).ok();
+    /// Records how long the server took to run the whole turn.
+    pub fn record_run_time(&mut self, took: Duration) {
+        self.run_ms = u64::try_from(took.as_millis()).ok();
     }
 
-    /// Settles the turn and keeps it.
+    /// Settles the turn and retains its transcript.
     ///
     /// # Errors
     ///
-    /// Fails if the state group did not say that it is settled.
-    pub async fn keep(mut self, keeping: Keeping) -> Result<(), GroupError> {
-        let Keeping { previous, retention, text } = keeping;
-        let kept = Kept { previous, text: Blob::from(&text[..]), retention };
-        let finish = self.finish(Some(kept));
-        let reply = self.gateway.turns.commit(finish).await?;
+    /// Fails if the state group did not confirm that the turn is settled.
+    pub async fn retain(mut self, transcript: Transcript) -> Result<(), GroupError> {
+        let Transcript { previous, retention_ms, text } = transcript;
+        let kept = Kept { previous, text: Blob::from(&text[..]), retention: retention_ms };
+        let command = self.finish_command(Some(kept));
+        let reply = self.gateway.turns.commit(command).await?;
         self.settled = reply == TurnReply::Settled;
         if self.settled {
             return Ok(());
@@ -89,14 +89,14 @@
         Err(GroupError::Unknown { reason: format!("{reply:?}").into() })
     }
 
-    /// Notes that nothing was reserved, so that nothing has to be settled.
-    pub fn forget(mut self) {
+    /// Drops the turn without settling it, after the state group refused the reservation.
+    pub fn discard(mut self) {
         self.settled = true;
     }
 
-    fn finish(&self, kept: Option<Kept>) -> TurnCommand {
+    fn finish_command(&self, kept: Option<Kept>) -> TurnCommand {
         let (program, team, turn) = (self.program.clone(), self.team.clone(), self.name.clone());
-        TurnCommand::Finish(Finish { program, team, turn, spent: self.spent, ran: self.ran, kept })
+        TurnCommand::Finish(Finish { program, team, turn, spent: self.spent, ran: self.run_ms, kept })
     }
 }
 
@@ -105,14 +105,14 @@
         if self.settled {
             return;
         }
-        let committing = self.gateway.turns.commit(self.finish(None));
+        let reply = self.gateway.turns.commit(self.finish_command(None));
         let (program, name) = (self.program.clone(), self.name.clone());
-        let settling = async move {
-            if let Err(failure) = committing.await {
-                // The reservation stands, which can only make the budget seem smaller than it is.
-                warn!("turn={name} program={program} was not settled: {failure}.");
+        let settle = async move {
+            if let Err(error) = reply.await {
+                // The reservation stands, so the program's remaining budget is underestimated.
+                warn!("turn={name} program={program} could not be settled: {error}.");
             }
         };
-        self.gateway.executor.spawn(settling).detach();
+        self.gateway.executor.spawn(settle).detach();
     }
 }
