--- a/agatetrestle/src/orders/engines.rs
+++ b/agatetrestle/src/orders/engines.rs
@@ -1,4 +1,4 @@
-//! Engines as the orders see them: what they serve, and the order to load a model.
+//! Client of the engines' admin interface.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,70 +20,70 @@
 
 use crate::node::peer_link::within;
 
-/// Header that carries the fencing number of an order.
+/// Header that carries the fencing token of an order.
 pub const FENCING_TOKEN_HEADER: &str = "Agatetrestle-Fence";
-/// Largest answer that is read.
-const MAX_ANSWER: u64 = 1 << 20;
+/// Response bodies are truncated to this size.
+const MAX_RESPONSE_BYTES: u64 = 1 << 20;
 
-/// Why an engine gave no usable answer.
+/// Why a request to an engine failed.
 #[derive(Debug, Snafu)]
 pub enum EngineError {
-    /// No connection could be made.
-    #[snafu(display("no connection: {source}"))]
+    /// The connection failed.
+    #[snafu(display("connection failed: {source}"))]
     Connect {
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The exchange broke off or was malformed.
-    #[snafu(display("no answer: {detail}"))]
+    /// The connection broke, or a message was malformed.
+    #[snafu(display("HTTP exchange failed: {detail}"))]
     Exchange {
-        /// What the library said; its error type is no standard one.
+        /// Message of the library's error, whose type does not implement [`std::error::Error`].
         detail: Arc<str>,
     },
-    /// The engine answered with an error, for an order perhaps because of its fencing number.
-    #[snafu(display("answered with status {status}"))]
+    /// The engine responded with an error, such as the rejection of an outdated fencing token.
+    #[snafu(display("engine responded with status {status}"))]
     Status {
         /// The HTTP status.
         status: u16,
     },
-    /// There was no answer in time.
-    #[snafu(display("no answer in time"))]
+    /// The exchange timed out.
+    #[snafu(display("timed out"))]
     Timeout,
 }
 
-/// The engines at the border of this slice.
+/// Admin interface of engines.
 pub trait EngineAdmin {
-    /// The model that an engine serves, if any.
+    /// Returns the model that an engine serves, if any.
     fn served_model(&self, engine: SocketAddr) -> LocalBoxFuture<'_, Result<Option<Arc<str>>, EngineError>>;
 
-    /// Orders an engine to load a model. Loading what is loaded changes nothing.
+    /// Orders an engine to load a model. Idempotent.
     fn load(
         &self,
         engine: SocketAddr,
         model: Arc<str>,
-        fence: u64,
+        fencing_token: u64,
     ) -> LocalBoxFuture<'_, Result<(), EngineError>>;
 }
 
-/// Engines over HTTP: the models list of the chat-completions interface, and `POST /admin/models`.
+/// Admin interface over HTTP: `GET /v1/models` of the chat-completions API, and `POST /admin/models`.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpEngineAdmin {
-    /// Bound on one exchange.
+    /// Timeout of one exchange.
     pub timeout: Duration,
 }
 
 #[derive(Deserialize)]
-struct Models {
-    data: Vec<Model>,
+struct ModelList {
+    data: Vec<ModelEntry>,
 }
 
 #[derive(Deserialize)]
-struct Model {
+struct ModelEntry {
     id: Arc<str>,
 }
 
 #[derive(Serialize)]
-struct Load<'a> {
+struct LoadRequest<'a> {
     model: &'a str,
 }
 
@@ -98,7 +98,7 @@
         Box::pin(async move {
             let request = request(Method::Get, engine, "/v1/models")?;
             let bytes = self.exchange(engine, request).await?;
-            let models: Models = serde_json::from_slice(&bytes).map_err(|failure| unusable(&failure))?;
+            let models: ModelList = serde_json::from_slice(&bytes).map_err(|error| exchange_error(&error))?;
             Ok(models.data.into_iter().next().map(|model| model.id))
         })
     }
@@ -107,33 +107,35 @@
         &self,
         engine: SocketAddr,
         model: Arc<str>,
-        fence: u64,
+        fencing_token: u64,
     ) -> LocalBoxFuture<'_, Result<(), EngineError>> {
         Box::pin(async move {
             let mut request = request(Method::Post, engine, "/admin/models")?;
-            request.insert_header(FENCING_TOKEN_HEADER, fence.to_string());
-            request.set_body(Body::from_json(&Load { model: &model }).map_err(|failure| unusable(&failure))?);
+            request.insert_header(FENCING_TOKEN_HEADER, fencing_token.to_string());
+            request.set_body(
+                Body::from_json(&LoadRequest { model: &model }).map_err(|error| exchange_error(&error))?,
+            );
             self.exchange(engine, request).await.map(|_| ())
         })
     }
 }
 
 fn request(method: Method, engine: SocketAddr, path: &str) -> Result<Request, EngineError> {
-    let url = Url::parse(&format!("http://{engine}{path}")).map_err(|failure| unusable(&failure))?;
+    let url = Url::parse(&format!("http://{engine}{path}")).map_err(|error| exchange_error(&error))?;
     Ok(Request::new(method, url))
 }
 
 async fn exchange(engine: SocketAddr, request: Request) -> Result<Vec<u8>, EngineError> {
     let stream = TcpStream::connect(engine).await.context(ConnectSnafu)?;
     let mut response: Response =
-        async_h1::connect(stream, request).await.map_err(|failure| unusable(&failure))?;
+        async_h1::connect(stream, request).await.map_err(|error| exchange_error(&error))?;
     ensure!(response.status().is_success(), StatusSnafu { status: u16::from(response.status()) });
     let mut bytes = Vec::new();
     let body = response.take_body();
-    body.take(MAX_ANSWER).read_to_end(&mut bytes).await.map_err(|failure| unusable(&failure))?;
+    body.take(MAX_RESPONSE_BYTES).read_to_end(&mut bytes).await.map_err(|error| exchange_error(&error))?;
     Ok(bytes)
 }
 
-fn unusable(failure: &dyn std::fmt::Display) -> EngineError {
-    EngineError::Exchange { detail: failure.to_string().into() }
+fn exchange_error(error: &dyn std::fmt::Display) -> EngineError {
+    EngineError::Exchange { detail: error.to_string().into() }
 }
--- a/agatetrestle/src/orders/mod.rs
+++ b/agatetrestle/src/orders/mod.rs
@@ -1,8 +1,7 @@
-//! Orders to engines: which model to load, given by the control leader alone.
+//! Orders from the control leader to engines to load models.
 //!
-//! An order carries a fencing number. Some engines ignore it, so a new leader first waits until an old one
-//! can no longer give orders by its own clock. Loads are paced so that all together stay within the
-//! weight store's rate; see docs/design/011-orders-to-engines.md.
+//! Each order carries a fencing token. Some engines ignore it, so a new leader first waits until the lease of its
+//! predecessor has expired. Loads are paced to the rate of the weight store; see docs/design/011-orders-to-engines.md.
 
 pub mod engines;
 pub mod pacer;
--- a/agatetrestle/src/orders/pacer.rs
+++ b/agatetrestle/src/orders/pacer.rs
@@ -1,4 +1,4 @@
-//! The pace of loads from the weight store.
+//! Rate limiting of model loads from the weight store.
 
 use std::time::Duration;
 
@@ -6,39 +6,40 @@
 
 const MICROS_PER_SECOND: u128 = 1_000_000;
 
-/// Spaces loads so that their bytes stay within a rate. Loads go one after the other: two at once
-/// would each take twice as long and neither engine would serve sooner.
+/// Spaces loads so that their bytes stay within a rate. Loads run one at a time: concurrent ones would share the rate,
+/// so no engine would be ready sooner.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadPacer {
+    /// Bytes per second; 0 for no limit.
     rate: u64,
-    free_at: Timestamp,
+    next_start: Timestamp,
 }
 
 impl LoadPacer {
-    /// A pace of `rate` bytes a second; a rate of 0 stands for no limit.
+    /// Creates a pacer for `rate` bytes per second; 0 means no limit.
     #[must_use]
     pub fn new(rate: u64, now: Timestamp) -> Self {
-        Self { rate, free_at: now }
+        Self { rate, next_start: now }
     }
 
-    /// Changes the rate from the next load on.
+    /// Sets the rate for subsequent loads.
     pub fn set_rate(&mut self, rate: u64) {
         self.rate = rate;
     }
 
-    /// Whether a load may begin.
+    /// Whether a load may start.
     #[must_use]
-    pub fn is_free(&self, now: Timestamp) -> bool {
-        now >= self.free_at
+    pub fn is_ready(&self, now: Timestamp) -> bool {
+        now >= self.next_start
     }
 
-    /// Notes a load of so many bytes that begins now.
-    pub fn begin(&mut self, now: Timestamp, bytes: u64) {
-        let begin = self.free_at.max(now);
-        self.free_at = begin + self.span(bytes);
+    /// Records the start of a load of `bytes`.
+    pub fn start(&mut self, now: Timestamp, bytes: u64) {
+        let start = self.next_start.max(now);
+        self.next_start = start + self.load_time(bytes);
     }
 
-    fn span(&self, bytes: u64) -> Duration {
+    fn load_time(&self, bytes: u64) -> Duration {
         if self.rate == 0 {
             return Duration::ZERO;
         }
--- a/agatetrestle/src/orders/reconciler.rs
+++ b/agatetrestle/src/orders/reconciler.rs
@@ -1,4 +1,4 @@
-//! Who may give which order when: a pure state machine of the control leader.
+//! State machine of the control leader that decides which engine to order to load which model, and when. It does no I/O.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,93 +7,94 @@
 use crate::clock::Timestamp;
 use crate::orders::pacer::LoadPacer;
 
-/// Time after which an order without an outcome is given again; loading is idempotent.
-const GIVE_AGAIN: Duration = Duration::from_mins(5);
+/// Time after which an order whose outcome is unknown is repeated; loading is idempotent.
+const ORDER_TIMEOUT: Duration = Duration::from_mins(5);
 
-/// An engine as the declarations want it.
+/// Desired state of an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineSpec {
-    /// The model it shall serve.
+    /// The model to serve.
     pub model: Arc<str>,
     /// Size of the model's weights in bytes.
     pub weights_bytes: u64,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the engine rejects orders with an outdated fencing token.
     pub checks_fencing: bool,
 }
 
-/// An order to be sent.
+/// An order to an engine to load a model.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
     /// Name of the engine.
     pub engine: Arc<str>,
     /// The model to load.
     pub model: Arc<str>,
-    /// Fencing number.
+    /// Token by which the engine can reject orders of an earlier leader.
     pub fencing_token: u64,
 }
 
-/// The right to give orders, as confirmed by the control group.
+/// A lease to send orders, granted by the control group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LeaderLease {
-    /// Fencing number from the log.
+    /// Fencing token committed to the control group's log.
     pub fencing_token: u64,
-    /// When the number was obtained.
+    /// When the token was obtained.
     pub acquired_at: Timestamp,
-    /// Until when this node leads by its own clock.
+    /// End of the leadership by this node's clock.
     pub expires_at: Timestamp,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Engine {
-    wanted: Option<EngineSpec>,
-    /// Whether the engine ever said what it serves; one that never did gets no orders.
+    spec: Option<EngineSpec>,
+    /// Whether the served model was ever reported; until then the engine gets no orders.
     observed: bool,
-    serves: Option<Arc<str>>,
-    ordered: Option<(Arc<str>, Timestamp)>,
+    served_model: Option<Arc<str>>,
+    /// Model and time of the order whose outcome is unknown.
+    pending: Option<(Arc<str>, Timestamp)>,
 }
 
-/// Compares what engines serve with what the declarations want, and orders the difference.
+/// Compares the models that engines serve with the desired ones, and issues orders for the differences.
 #[derive(Clone, Debug)]
 pub struct Reconciler {
     engines: BTreeMap<Arc<str>, Engine>,
-    pace: LoadPacer,
-    /// How long an old leader may still believe that it leads: its lease and the declared clock drift.
-    wait_out: Duration,
-    mandate: Option<LeaderLease>,
+    pacer: LoadPacer,
+    /// Delay until no earlier leader can still hold a lease: the longest lease plus the maximum clock drift.
+    takeover_delay: Duration,
+    lease: Option<LeaderLease>,
 }
 
 impl Reconciler {
-    /// A desk without a mandate. `wait_out` is the longest lease of an old leader plus the clock drift.
+    /// Creates a reconciler without a lease. `takeover_delay` is the longest lease plus the maximum clock drift.
     #[must_use]
-    pub fn new(now: Timestamp, rate: u64, wait_out: Duration) -> Self {
-        Self { engines: BTreeMap::new(), pace: LoadPacer::new(rate, now), wait_out, mandate: None }
+    pub fn new(now: Timestamp, rate: u64, takeover_delay: Duration) -> Self {
+        Self { engines: BTreeMap::new(), pacer: LoadPacer::new(rate, now), takeover_delay, lease: None }
     }
 
-    /// Takes in the declarations.
-    pub fn set_specs(&mut self, wanted: BTreeMap<Arc<str>, EngineSpec>, rate: u64) {
-        self.pace.set_rate(rate);
-        self.engines.retain(|name, _| wanted.contains_key(name));
-        for (name, wanted) in wanted {
-            self.engines.entry(name).or_default().wanted = Some(wanted);
+    /// Replaces the desired state of all engines and the rate of the weight store.
+    pub fn set_specs(&mut self, specs: BTreeMap<Arc<str>, EngineSpec>, rate: u64) {
+        self.pacer.set_rate(rate);
+        self.engines.retain(|name, _| specs.contains_key(name));
+        for (name, spec) in specs {
+            self.engines.entry(name).or_default().spec = Some(spec);
         }
     }
 
-    /// Takes in what an engine says it serves; `None` for nothing.
-    pub fn observe(&mut self, engine: &str, serves: Option<Arc<str>>) {
+    /// Updates the model that an engine reports to serve; `None` if it serves none.
+    pub fn observe(&mut self, engine: &str, served_model: Option<Arc<str>>) {
         if let Some(engine) = self.engines.get_mut(engine) {
-            if engine.ordered.as_ref().map(|(model, _)| model) == serves.as_ref() {
-                engine.ordered = None;
+            if engine.pending.as_ref().map(|(model, _)| model) == served_model.as_ref() {
+                engine.pending = None;
             }
             engine.observed = true;
-            engine.serves = serves;
+            engine.served_model = served_model;
         }
     }
 
-    /// Takes in the mandate, renewed while this node leads, or its loss.
-    pub fn set_lease(&mut self, mandate: Option<LeaderLease>) {
+    /// Sets, renews or revokes the lease.
+    pub fn set_lease(&mut self, lease: Option<LeaderLease>) {
         let same = |old: &LeaderLease, new: &LeaderLease| old.fencing_token == new.fencing_token;
-        self.mandate = match (self.mandate, mandate) {
-            // The wait counts from the first sight of a fencing number, not from its renewals.
+        self.lease = match (self.lease, lease) {
+            // The takeover delay starts when the token is obtained; renewals do not restart it.
             (Some(old), Some(new)) if same(&old, &new) => {
                 Some(LeaderLease { acquired_at: old.acquired_at, ..new })
             }
@@ -101,59 +102,59 @@
         };
     }
 
-    /// The next order, if one is due. Right before sending it the driver must ask [`Reconciler::may_send`]
-    /// again, since the process may have been paused in between.
+    /// Returns the next order that is due. The driver must check [`Reconciler::may_send`] right before sending it, since
+    /// the process may have been paused in between.
     pub fn next_order(&mut self, now: Timestamp) -> Option<Order> {
-        if !self.pace.is_free(now) {
+        if !self.pacer.is_ready(now) {
             return None;
         }
-        let mandate = self.mandate?;
-        let due = self.engines.iter().find(|(_, engine)| self.is_due(now, engine))?;
-        let (name, wanted) = (due.0.clone(), due.1.wanted.clone()?);
-        let order = Order { engine: name, model: wanted.model.clone(), fencing_token: mandate.fencing_token };
-        self.pace.begin(now, wanted.weights_bytes);
+        let lease = self.lease?;
+        let (name, engine) = self.engines.iter().find(|(_, engine)| self.is_due(now, engine))?;
+        let (name, spec) = (name.clone(), engine.spec.clone()?);
+        let order = Order { engine: name, model: spec.model.clone(), fencing_token: lease.fencing_token };
+        self.pacer.start(now, spec.weights_bytes);
         if let Some(engine) = self.engines.get_mut(&order.engine) {
-            engine.ordered = Some((wanted.model, now));
+            engine.pending = Some((spec.model, now));
         }
         Some(order)
     }
 
     fn is_due(&self, now: Timestamp, engine: &Engine) -> bool {
-        let Some(wanted) = &engine.wanted else {
+        let Some(spec) = &engine.spec else {
             return false;
         };
         if !engine.observed
-            || engine.serves.as_ref() == Some(&wanted.model)
-            || !self.is_authorised(now, wanted.checks_fencing)
+            || engine.served_model.as_ref() == Some(&spec.model)
+            || !self.is_authorized(now, spec.checks_fencing)
         {
             return false;
         }
-        let under_way =
-            |(model, at): &(Arc<str>, Timestamp)| *model == wanted.model && now.since(*at) < GIVE_AGAIN;
-        !engine.ordered.as_ref().is_some_and(under_way)
+        let is_loading =
+            |(model, at): &(Arc<str>, Timestamp)| *model == spec.model && now.since(*at) < ORDER_TIMEOUT;
+        !engine.pending.as_ref().is_some_and(is_loading)
     }
 
-    fn is_authorised(&self, now: Timestamp, checks_fencing: bool) -> bool {
-        let Some(mandate) = self.mandate else {
+    fn is_authorized(&self, now: Timestamp, checks_fencing: bool) -> bool {
+        let Some(lease) = self.lease else {
             return false;
         };
-        let old_leader_is_gone = checks_fencing || now >= mandate.acquired_at + self.wait_out;
-        now < mandate.expires_at && old_leader_is_gone
+        let excludes_old_leader = checks_fencing || now >= lease.acquired_at + self.takeover_delay;
+        now < lease.expires_at && excludes_old_leader
     }
 
-    /// Whether an order may still be sent now.
+    /// Whether the lease still covers an order.
     #[must_use]
     pub fn may_send(&self, now: Timestamp, order: &Order) -> bool {
-        let current = self.mandate.is_some_and(|mandate| mandate.fencing_token == order.fencing_token);
+        let current = self.lease.is_some_and(|lease| lease.fencing_token == order.fencing_token);
         let engine = self.engines.get(&order.engine);
-        let checks = engine.and_then(|engine| engine.wanted.as_ref()).map(|wanted| wanted.checks_fencing);
-        current && checks.is_some_and(|checks| self.is_authorised(now, checks))
+        let spec = engine.and_then(|engine| engine.spec.as_ref());
+        current && spec.is_some_and(|spec| self.is_authorized(now, spec.checks_fencing))
     }
 
-    /// An order was not sent, or its engine did not take it; it is due again.
+    /// Makes an order due again that was not sent or that its engine refused.
     pub fn mark_failed(&mut self, order: &Order) {
         if let Some(engine) = self.engines.get_mut(&order.engine) {
-            engine.ordered = None;
+            engine.pending = None;
         }
     }
 }
--- a/agatetrestle/src/orders/tests.rs
+++ b/agatetrestle/src/orders/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the orders: fencing, waiting out an old leader, pacing.
+//! Tests of order fencing, leader takeover and load pacing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,106 +10,106 @@
 use crate::orders::reconciler::Order;
 use crate::orders::reconciler::Reconciler;
 
-const RATE: u64 = 100;
-const WEIGHTS: u64 = 1_000;
-const WAIT_OUT: Duration = Duration::from_millis(300);
-const LEASE: Duration = Duration::from_millis(270);
+const RATE_BYTES_PER_SEC: u64 = 100;
+const WEIGHTS_BYTES: u64 = 1_000;
+const TAKEOVER_DELAY: Duration = Duration::from_millis(300);
+const LEASE_DURATION: Duration = Duration::from_millis(270);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp(millis * 1_000)
 }
 
-fn desk(checks_fencing: &[bool]) -> Reconciler {
-    let mut desk = Reconciler::new(at(0), RATE, WAIT_OUT);
-    let wanted =
-        |checks| EngineSpec { model: "tutor".into(), weights_bytes: WEIGHTS, checks_fencing: checks };
+fn reconciler(checks_fencing: &[bool]) -> Reconciler {
+    let mut reconciler = Reconciler::new(at(0), RATE_BYTES_PER_SEC, TAKEOVER_DELAY);
+    let spec =
+        |checks| EngineSpec { model: "tutor".into(), weights_bytes: WEIGHTS_BYTES, checks_fencing: checks };
     let engines: BTreeMap<Arc<str>, EngineSpec> = checks_fencing
         .iter()
         .zip(1..)
-        .map(|(checks, n)| (format!("engine-{n}").into(), wanted(*checks)))
+        .map(|(checks, n)| (format!("engine-{n}").into(), spec(*checks)))
         .collect();
-    desk.set_specs(engines.clone(), RATE);
+    reconciler.set_specs(engines.clone(), RATE_BYTES_PER_SEC);
     for name in engines.keys() {
-        desk.observe(name, None);
+        reconciler.observe(name, None);
     }
-    desk
+    reconciler
 }
 
-fn lead(desk: &mut Reconciler, fence: u64, now: u64) {
-    desk.set_lease(Some(LeaderLease {
-        fencing_token: fence,
+fn lead(reconciler: &mut Reconciler, fencing_token: u64, now: u64) {
+    reconciler.set_lease(Some(LeaderLease {
+        fencing_token,
         acquired_at: at(now),
-        expires_at: at(now) + LEASE,
+        expires_at: at(now) + LEASE_DURATION,
     }));
 }
 
-fn order(engine: &str, fence: u64) -> Order {
-    Order { engine: engine.into(), model: "tutor".into(), fencing_token: fence }
+fn order(engine: &str, fencing_token: u64) -> Order {
+    Order { engine: engine.into(), model: "tutor".into(), fencing_token }
 }
 
 #[test]
-fn without_a_mandate_no_order_is_given() {
-    let mut desk = desk(&[true]);
-    assert_eq!(desk.next_order(at(10)), None);
-    lead(&mut desk, 1, 10);
-    assert_eq!(desk.next_order(at(10)), Some(order("engine-1", 1)));
+fn issues_no_orders_without_a_lease() {
+    let mut reconciler = reconciler(&[true]);
+    assert_eq!(reconciler.next_order(at(10)), None);
+    lead(&mut reconciler, 1, 10);
+    assert_eq!(reconciler.next_order(at(10)), Some(order("engine-1", 1)));
 }
 
 #[test]
-fn an_engine_that_never_said_what_it_serves_gets_no_order() {
-    let mut desk = Reconciler::new(at(0), RATE, WAIT_OUT);
-    let wanted = EngineSpec { model: "tutor".into(), weights_bytes: WEIGHTS, checks_fencing: true };
-    desk.set_specs(BTreeMap::from([("engine-1".into(), wanted)]), RATE);
-    lead(&mut desk, 1, 0);
-    assert_eq!(desk.next_order(at(0)), None);
-    desk.observe("engine-1", None);
-    assert_eq!(desk.next_order(at(0)), Some(order("engine-1", 1)));
+fn issues_no_orders_to_unobserved_engines() {
+    let mut reconciler = Reconciler::new(at(0), RATE_BYTES_PER_SEC, TAKEOVER_DELAY);
+    let spec = EngineSpec { model: "tutor".into(), weights_bytes: WEIGHTS_BYTES, checks_fencing: true };
+    reconciler.set_specs(BTreeMap::from([("engine-1".into(), spec)]), RATE_BYTES_PER_SEC);
+    lead(&mut reconciler, 1, 0);
+    assert_eq!(reconciler.next_order(at(0)), None);
+    reconciler.observe("engine-1", None);
+    assert_eq!(reconciler.next_order(at(0)), Some(order("engine-1", 1)));
 }
 
 #[test]
-fn an_engine_that_ignores_fencing_is_ordered_only_after_the_old_leader_is_gone() {
-    let mut desk = desk(&[false]);
-    lead(&mut desk, 2, 0);
-    assert_eq!(desk.next_order(at(10)), None);
-    lead(&mut desk, 2, 290);
-    assert_eq!(desk.next_order(at(299)), None, "a renewal does not restart the wait, nor end it early");
-    assert_eq!(desk.next_order(at(300)), Some(order("engine-1", 2)));
+fn delays_orders_to_unfenced_engines_after_takeover() {
+    let mut reconciler = reconciler(&[false]);
+    lead(&mut reconciler, 2, 0);
+    assert_eq!(reconciler.next_order(at(10)), None);
+    lead(&mut reconciler, 2, 290);
+    assert_eq!(reconciler.next_order(at(299)), None, "a renewal neither restarts nor shortens the delay");
+    assert_eq!(reconciler.next_order(at(300)), Some(order("engine-1", 2)));
 }
 
 #[test]
-fn an_order_is_not_sent_after_a_pause_across_the_lease() {
-    let mut desk = desk(&[true]);
-    lead(&mut desk, 1, 0);
-    let order = desk.next_order(at(10)).unwrap();
-    assert!(desk.may_send(at(11), &order));
-    assert!(!desk.may_send(at(271), &order), "the process was paused past its lease");
-    lead(&mut desk, 3, 280);
-    assert!(!desk.may_send(at(281), &order), "the number is an old one");
+fn rejects_orders_after_the_lease_expired() {
+    let mut reconciler = reconciler(&[true]);
+    lead(&mut reconciler, 1, 0);
+    let order = reconciler.next_order(at(10)).unwrap();
+    assert!(reconciler.may_send(at(11), &order));
+    assert!(!reconciler.may_send(at(271), &order), "the lease expired while the process was paused");
+    lead(&mut reconciler, 3, 280);
+    assert!(!reconciler.may_send(at(281), &order), "the order carries an outdated fencing token");
 }
 
 #[test]
-fn loads_are_paced_to_the_rate_of_the_weight_store() {
-    let mut desk = desk(&[true, true]);
-    lead(&mut desk, 1, 0);
-    assert!(desk.next_order(at(0)).is_some());
+fn paces_loads_to_the_weight_store_rate() {
+    let mut reconciler = reconciler(&[true, true]);
+    lead(&mut reconciler, 1, 0);
+    assert!(reconciler.next_order(at(0)).is_some());
     for now in [1, 5_000, 9_999] {
-        lead(&mut desk, 1, now);
-        assert_eq!(desk.next_order(at(now)), None);
+        lead(&mut reconciler, 1, now);
+        assert_eq!(reconciler.next_order(at(now)), None);
     }
-    lead(&mut desk, 1, 10_000);
-    assert_eq!(desk.next_order(at(10_000)), Some(order("engine-2", 1)));
+    lead(&mut reconciler, 1, 10_000);
+    assert_eq!(reconciler.next_order(at(10_000)), Some(order("engine-2", 1)));
 }
 
 #[test]
-fn an_engine_that_serves_what_is_wanted_gets_no_order() {
-    let mut desk = desk(&[true]);
-    lead(&mut desk, 1, 0);
-    desk.observe("engine-1", Some("tutor".into()));
-    assert_eq!(desk.next_order(at(0)), None);
-    desk.observe("engine-1", None);
-    let given = desk.next_order(at(0)).unwrap();
-    lead(&mut desk, 1, 20_000);
-    assert_eq!(desk.next_order(at(20_000)), None, "the load is under way");
-    desk.mark_failed(&given);
-    assert_eq!(desk.next_order(at(20_000)), Some(given));
+fn skips_engines_serving_or_loading_the_model() {
+    let mut reconciler = reconciler(&[true]);
+    lead(&mut reconciler, 1, 0);
+    reconciler.observe("engine-1", Some("tutor".into()));
+    assert_eq!(reconciler.next_order(at(0)), None);
+    reconciler.observe("engine-1", None);
+    let first = reconciler.next_order(at(0)).unwrap();
+    lead(&mut reconciler, 1, 20_000);
+    assert_eq!(reconciler.next_order(at(20_000)), None, "the load is in progress");
+    reconciler.mark_failed(&first);
+    assert_eq!(reconciler.next_order(at(20_000)), Some(first));
 }
