--- a/agatetrestle/src/gateway/attempt.rs
+++ b/agatetrestle/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::context::RequestContext;
 use crate::gateway::slot::ServerSlot;
-use crate::gateway::wire::ForwardHead;
+use crate::gateway::wire::ForwardMetadata;
 use crate::node::peer_link::within;
 use crate::transport::client::Lease;
 use crate::transport::client::Reuse;
@@ -75,8 +75,12 @@
     slot.response_due = Some(sent_at + ctx.route.objective);
     let left = ctx.deadline.since(sent_at);
     let team = ctx.team.as_ref().map(|team| &*team.name);
-    let head =
-        ForwardHead { time_left: left, instance: &instance, priority: ctx.server_priority(sent_at), team };
+    let head = ForwardMetadata {
+        time_left: left,
+        instance: &instance,
+        priority: ctx.server_priority(sent_at),
+        team,
+    };
     let request = build_request(gateway, ctx, head);
     let timeout = if is_last { left } else { left.min(ctx.route.objective * ATTEMPT_TIMEOUT_PERCENT / 100) };
     let outcome = if ctx.route.is_streaming() {
@@ -156,7 +160,7 @@
     }
 }
 
-fn build_request(gateway: &Gateway, ctx: &RequestContext, head: ForwardHead<'_>) -> Request<Full<Bytes>> {
+fn build_request(gateway: &Gateway, ctx: &RequestContext, head: ForwardMetadata<'_>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(ctx.body.clone()));
     *request.method_mut() = ctx.parts.method.clone();
     // Callers may send the target in absolute form; the server gets it in origin form.
--- a/agatetrestle/src/gateway/context.rs
+++ b/agatetrestle/src/gateway/context.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Timestamp;
 use crate::gateway::turn::Transcript;
-use crate::gateway::wire::RequestHead;
+use crate::gateway::wire::RequestMetadata;
 use crate::routing::Route;
 use crate::routing::Team;
 
@@ -47,7 +47,7 @@
 /// A parsed request with its route, team and deadline.
 pub(super) struct RequestContext {
     pub(super) parts: Parts,
-    pub(super) head: RequestHead,
+    pub(super) head: RequestMetadata,
     pub(super) attempt_id: Arc<str>,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -46,7 +46,7 @@
 use crate::gateway::slot::Assignment;
 use crate::gateway::slot::DispatchRejection;
 use crate::gateway::turn::TurnClient;
-use crate::gateway::wire::RequestHead;
+use crate::gateway::wire::RequestMetadata;
 use crate::gateway::wire::WireFormat;
 use crate::ports::Recorder;
 use crate::routing::RouteTable;
@@ -193,7 +193,7 @@
     }
 
     /// Whether the request's program completed a turn here within [`PROGRAM_TTL`].
-    fn has_recent_turn(&self, head: &RequestHead) -> bool {
+    fn has_recent_turn(&self, head: &RequestMetadata) -> bool {
         head.program.as_ref().is_some_and(|program| self.last_turns.borrow().contains_key(program))
     }
 
--- a/agatetrestle/src/gateway/request.rs
+++ b/agatetrestle/src/gateway/request.rs
@@ -32,7 +32,7 @@
 use crate::gateway::reserve;
 use crate::gateway::slot::ServerSlot;
 use crate::gateway::turn::OpenTurn;
-use crate::gateway::wire::RequestHead;
+use crate::gateway::wire::RequestMetadata;
 use crate::routing::Route;
 use crate::routing::RouteTable;
 use crate::routing::UnknownKey;
@@ -147,7 +147,7 @@
     run(gateway, ctx, log_entry).await
 }
 
-fn read_head(gateway: &Gateway, parts: &Parts) -> Result<RequestHead, ErrorResponse> {
+fn read_head(gateway: &Gateway, parts: &Parts) -> Result<RequestMetadata, ErrorResponse> {
     if parts.headers.get_all(HOST).iter().count() > 1 {
         return Err(ErrorResponse::new(StatusCode::BAD_REQUEST, "the request can be read in two ways"));
     }
--- a/agatetrestle/src/gateway/tests.rs
+++ b/agatetrestle/src/gateway/tests.rs
@@ -9,7 +9,7 @@
 use crate::clock::Timestamp;
 use crate::gateway::context::RequestContext;
 use crate::gateway::sse::SseParser;
-use crate::gateway::wire::RequestHead;
+use crate::gateway::wire::RequestMetadata;
 use crate::routing::Route;
 use crate::routing::RouteKind;
 use crate::routing::Team;
@@ -83,7 +83,7 @@
         .map(|priority| Arc::new(Team { name: "t".into(), keys: Vec::new(), priority, allowance: None }));
     RequestContext {
         parts: http::Request::new(()).into_parts().0,
-        head: RequestHead { finish_in: left_ms.map(Duration::from_millis), ..RequestHead::default() },
+        head: RequestMetadata { finish_in: left_ms.map(Duration::from_millis), ..RequestMetadata::default() },
         attempt_id: "a".into(),
         route: Arc::new(route),
         service: "s".into(),
--- a/agatetrestle/src/gateway/wire.rs
+++ b/agatetrestle/src/gateway/wire.rs
@@ -20,7 +20,7 @@
 
 /// Metadata in the headers of a caller's request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct RequestHead {
+pub struct RequestMetadata {
     /// Id of the caller's attempt, unique for each.
     pub attempt_id: Option<Arc<str>>,
     /// How long the caller waits for the response.
@@ -43,7 +43,7 @@
 
 /// Metadata added to a request forwarded to a backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct ForwardHead<'a> {
+pub struct ForwardMetadata<'a> {
     /// Time left until the request's deadline.
     pub time_left: Duration,
     /// Id of the expected instance; any other must refuse the request.
@@ -56,7 +56,7 @@
 
 /// Metadata in the headers of a backend server's response.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct ResponseHead {
+pub struct ResponseMetadata {
     /// Id of the attempt that the response belongs to.
     pub attempt_id: Option<Arc<str>>,
     /// Whether the response carries a backend server's signature.
@@ -113,13 +113,13 @@
     /// # Errors
     ///
     /// Fails if a header has an invalid value.
-    fn read_request(&self, headers: &HeaderMap) -> Result<RequestHead, ParseError>;
+    fn read_request(&self, headers: &HeaderMap) -> Result<RequestMetadata, ParseError>;
 
     /// Rewrites a caller's headers for a backend server: removes those that callers must not set, then adds `head`.
-    fn write_forwarded(&self, headers: &mut HeaderMap, head: ForwardHead<'_>);
+    fn write_forwarded(&self, headers: &mut HeaderMap, head: ForwardMetadata<'_>);
 
     /// Parses the headers of a backend server's response.
-    fn read_response(&self, headers: &HeaderMap) -> ResponseHead;
+    fn read_response(&self, headers: &HeaderMap) -> ResponseMetadata;
 
     /// Parses and validates a route table.
     ///
