--- a/agatetrestle/src/gateway/attempt.rs
+++ b/agatetrestle/src/gateway/attempt.rs
@@ -75,13 +75,13 @@
     slot.response_due = Some(sent_at + ctx.route.objective);
     let left = ctx.deadline.since(sent_at);
     let team = ctx.team.as_ref().map(|team| &*team.name);
-    let head = ForwardMetadata {
+    let metadata = ForwardMetadata {
         time_left: left,
         instance: &instance,
         priority: ctx.server_priority(sent_at),
         team,
     };
-    let request = build_request(gateway, ctx, head);
+    let request = build_request(gateway, ctx, metadata);
     let timeout = if is_last { left } else { left.min(ctx.route.objective * ATTEMPT_TIMEOUT_PERCENT / 100) };
     let outcome = if ctx.route.is_streaming() {
         let wait = ResponseWait { gateway, ctx, sent_at, timeout };
@@ -160,7 +160,11 @@
     }
 }
 
-fn build_request(gateway: &Gateway, ctx: &RequestContext, head: ForwardMetadata<'_>) -> Request<Full<Bytes>> {
+fn build_request(
+    gateway: &Gateway,
+    ctx: &RequestContext,
+    metadata: ForwardMetadata<'_>,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(ctx.body.clone()));
     *request.method_mut() = ctx.parts.method.clone();
     // Callers may send the target in absolute form; the server gets it in origin form.
@@ -168,7 +172,7 @@
     *request.uri_mut() = path.map(Into::into).unwrap_or_default();
     let mut headers = ctx.parts.headers.clone();
     strip_hop_headers(&mut headers);
-    gateway.wire.write_forwarded(&mut headers, head);
+    gateway.wire.write_forwarded(&mut headers, metadata);
     *request.headers_mut() = headers;
     request
 }
@@ -205,9 +209,9 @@
     started: StartedResponse,
 ) -> Result<StartedResponse, SendFailure> {
     let status = started.response.status();
-    let head = gateway.wire.read_response(started.response.headers());
+    let metadata = gateway.wire.read_response(started.response.headers());
     let server = started.slot.server;
-    if let Some(load) = head.load {
+    if let Some(load) = metadata.load {
         gateway.dispatch.borrow_mut().observe(gateway.clock.now(), server, load);
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
@@ -215,15 +219,15 @@
         started.slot.release(Outcome::Abandoned);
         return Err(SendFailure::NotRun("another instance has the address".into()));
     }
-    if head.not_run {
+    if metadata.not_run {
         started.slot.release(Outcome::Full);
         return Err(SendFailure::NotRun(format!("the server answered {status} without running it")));
     }
-    if head.attempt_id.as_ref() != Some(&ctx.attempt_id) {
+    if metadata.attempt_id.as_ref() != Some(&ctx.attempt_id) {
         started.slot.release(Outcome::Failed);
         return Err(SendFailure::MayHaveRun("the answer belongs to another request".into()));
     }
-    if !head.signed {
+    if !metadata.signed {
         started.slot.release(Outcome::Failed);
         return Err(SendFailure::MayHaveRun(format!("the server answered {status} without a signature")));
     }
--- a/agatetrestle/src/gateway/context.rs
+++ b/agatetrestle/src/gateway/context.rs
@@ -47,7 +47,7 @@
 /// A parsed request with its route, team and deadline.
 pub(super) struct RequestContext {
     pub(super) parts: Parts,
-    pub(super) head: RequestMetadata,
+    pub(super) metadata: RequestMetadata,
     pub(super) attempt_id: Arc<str>,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<str>,
@@ -76,7 +76,7 @@
     /// Priority sent to the server, ordered by team, route and whether the program has started. Programs past their
     /// deadline get the lowest priority, so that they do not delay others.
     pub(super) fn server_priority(&self, now: Timestamp) -> u8 {
-        let left = self.head.finish_in.map(|left| (self.arrived_at + left).since(now));
+        let left = self.metadata.finish_in.map(|left| (self.arrived_at + left).since(now));
         if left.is_some_and(|left| left.is_zero()) {
             return LOWEST_SERVER_PRIORITY;
         }
@@ -102,5 +102,5 @@
     let retention = ctx.route.retention?;
     let retention_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
     let text = ctx.body[ctx.chain_bytes..].to_vec();
-    Some(Transcript { previous: ctx.head.previous_turn.clone(), retention_ms, text })
+    Some(Transcript { previous: ctx.metadata.previous_turn.clone(), retention_ms, text })
 }
--- a/agatetrestle/src/gateway/sse.rs
+++ b/agatetrestle/src/gateway/event_splitter.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Incremental parser of a server-sent event stream.
+/// Incremental splitter of a server-sent event stream.
 #[derive(Debug, Default)]
-pub struct SseParser {
+pub struct EventSplitter {
     buffer: BytesMut,
     /// Leading bytes already searched for the end of an event.
     scanned: usize,
@@ -13,23 +13,23 @@
 
 /// A complete event, including the empty line that terminates it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct SseEvent(pub Bytes);
+pub struct RawEvent(pub Bytes);
 
-impl SseParser {
+impl EventSplitter {
     /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// Removes the next complete event from the buffer.
-    pub fn next_event(&mut self) -> Option<SseEvent> {
+    pub fn next_event(&mut self) -> Option<RawEvent> {
         let start = self.scanned.saturating_sub(3);
         let Some(end) = event_end(&self.buffer[start..]) else {
             self.scanned = self.buffer.len();
             return None;
         };
         self.scanned = 0;
-        Some(SseEvent(self.buffer.split_to(start + end).freeze()))
+        Some(RawEvent(self.buffer.split_to(start + end).freeze()))
     }
 
     /// The bytes after the last complete event.
@@ -45,7 +45,7 @@
     }
 }
 
-impl SseEvent {
+impl RawEvent {
     /// The values of the `data` lines, joined by line feeds; `None` if there is no such line.
     #[must_use]
     pub fn data(&self) -> Option<Vec<u8>> {
--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -7,11 +7,11 @@
 mod attempt;
 mod body;
 mod context;
+pub mod event_splitter;
 mod relay;
 mod request;
 mod reserve;
 mod slot;
-pub mod sse;
 #[cfg(test)]
 mod tests;
 pub mod turn;
@@ -164,7 +164,7 @@
 
     /// Handles a request from a caller.
     pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
-        let _in_flight = InFlightGuard::new(&self);
+        let _in_flight = InFlightRequest::new(&self);
         request::handle(&self, request).await
     }
 
@@ -193,8 +193,8 @@
     }
 
     /// Whether the request's program completed a turn here within [`PROGRAM_TTL`].
-    fn has_recent_turn(&self, head: &RequestMetadata) -> bool {
-        head.program.as_ref().is_some_and(|program| self.last_turns.borrow().contains_key(program))
+    fn has_recent_turn(&self, metadata: &RequestMetadata) -> bool {
+        metadata.program.as_ref().is_some_and(|program| self.last_turns.borrow().contains_key(program))
     }
 
     fn apply(&self, decisions: Vec<Decision>) {
@@ -269,16 +269,16 @@
 }
 
 /// Counts a request as in flight; streamed response bodies hold a guard of their own.
-pub(crate) struct InFlightGuard(Rc<Gateway>);
+pub(crate) struct InFlightRequest(Rc<Gateway>);
 
-impl InFlightGuard {
+impl InFlightRequest {
     pub(crate) fn new(gateway: &Rc<Gateway>) -> Self {
         gateway.in_flight.set(gateway.in_flight.get() + 1);
         Self(gateway.clone())
     }
 }
 
-impl Drop for InFlightGuard {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
--- a/agatetrestle/src/gateway/relay.rs
+++ b/agatetrestle/src/gateway/relay.rs
@@ -15,15 +15,15 @@
 use crate::clock::Timestamp;
 use crate::dispatch::Outcome;
 use crate::gateway::Gateway;
-use crate::gateway::InFlightGuard;
+use crate::gateway::InFlightRequest;
 use crate::gateway::access_log::AccessLogEntry;
 use crate::gateway::access_log::CALLER_DISCONNECTED;
 use crate::gateway::attempt::StartedResponse;
 use crate::gateway::attempt::strip_hop_headers;
 use crate::gateway::context::RequestContext;
 use crate::gateway::context::transcript;
+use crate::gateway::event_splitter::EventSplitter;
 use crate::gateway::slot::ServerSlot;
-use crate::gateway::sse::SseParser;
 use crate::gateway::turn::OpenTurn;
 use crate::gateway::turn::Transcript;
 use crate::node::peer_link::within;
@@ -50,7 +50,7 @@
     status: u16,
     logged: bool,
     log_entry: AccessLogEntry,
-    _in_flight: InFlightGuard,
+    _in_flight: InFlightRequest,
 }
 
 /// Why a body ended prematurely.
@@ -139,16 +139,16 @@
         status: status.as_u16(),
         logged: false,
         log_entry: log_entry.clone(),
-        _in_flight: InFlightGuard::new(gateway),
+        _in_flight: InFlightRequest::new(gateway),
     };
     if ctx.route.is_streaming() && status.is_success() {
         let events = EventStream {
             response: stream,
-            parser: SseParser::default(),
+            splitter: EventSplitter::default(),
             turn: turn.take(),
             transcript: transcript(ctx),
             tokens_per_event: ctx.tokens_per_event,
-            program: ctx.head.program.clone(),
+            program: ctx.metadata.program.clone(),
             at_end: false,
         };
         let body = AnswerBody::Pieces(events.into_pieces(), None);
@@ -202,7 +202,7 @@
 /// A response whose body is a stream of server-sent events.
 struct EventStream {
     response: ResponseStream,
-    parser: SseParser,
+    splitter: EventSplitter,
     turn: Option<OpenTurn>,
     transcript: Option<Transcript>,
     tokens_per_event: u64,
@@ -236,7 +236,7 @@
             return Ok(None);
         }
         loop {
-            if let Some(event) = self.parser.next_event() {
+            if let Some(event) = self.splitter.next_event() {
                 if let Some(turn) = &mut self.turn {
                     turn.add_tokens(self.tokens_per_event);
                 }
@@ -246,15 +246,15 @@
                 }
                 return Ok(Some(event.0));
             }
-            if self.parser.buffered_len() > MAX_EVENT_BYTES {
+            if self.splitter.buffered_len() > MAX_EVENT_BYTES {
                 return Err("an event is too long");
             }
             let Some(data) = self.response.next().await? else {
                 self.at_end = true;
-                let remainder = std::mem::take(&mut self.parser).into_remainder();
+                let remainder = std::mem::take(&mut self.splitter).into_remainder();
                 return Ok((!remainder.is_empty()).then_some(remainder));
             };
-            self.parser.push(&data);
+            self.splitter.push(&data);
         }
     }
 
--- a/agatetrestle/src/gateway/request.rs
+++ b/agatetrestle/src/gateway/request.rs
@@ -101,8 +101,8 @@
     log_entry: &mut AccessLogEntry,
 ) -> Result<Response<AnswerBody>, ErrorResponse> {
     let (parts, body) = request.into_parts();
-    let head = read_head(gateway, &parts)?;
-    let attempt_id = head.attempt_id.clone().unwrap_or_default();
+    let metadata = read_metadata(gateway, &parts)?;
+    let attempt_id = metadata.attempt_id.clone().unwrap_or_default();
     log_entry.attempt_id = attempt_id.clone();
     let table = gateway.table.borrow().clone();
     let table = table
@@ -110,7 +110,7 @@
     log_entry.version = table.version;
     let route = find_route(&table, &parts)?;
     log_entry.route = route.name.clone();
-    let team = table.team(&route, head.key.as_ref());
+    let team = table.team(&route, metadata.key.as_ref());
     let team = team
         .map_err(|UnknownKey| ErrorResponse::new(StatusCode::UNAUTHORIZED, "no team has this key"))?
         .cloned();
@@ -118,7 +118,7 @@
     if attempt_id.is_empty() {
         return Err(ErrorResponse::new(StatusCode::BAD_REQUEST, "the request has no id"));
     }
-    let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
+    let timeout = metadata.timeout.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived_at + timeout;
     let limit = table.limits.body;
     let (_permit, body) = read_body(gateway, body, limit, deadline).await?;
@@ -127,12 +127,12 @@
     log_entry.service = service.clone();
     // Requests on non-streaming routes are tool calls, which follow the first turn of a program.
     let program_started =
-        !route.is_streaming() || head.previous_turn.is_some() || gateway.has_recent_turn(&head);
+        !route.is_streaming() || metadata.previous_turn.is_some() || gateway.has_recent_turn(&metadata);
     let declared = table.service(&service).and_then(|service| service.tokens_per_event);
     let tokens_per_event = declared.unwrap_or(1);
     let ctx = RequestContext {
         parts,
-        head,
+        metadata,
         attempt_id,
         route,
         service,
@@ -147,12 +147,12 @@
     run(gateway, ctx, log_entry).await
 }
 
-fn read_head(gateway: &Gateway, parts: &Parts) -> Result<RequestMetadata, ErrorResponse> {
+fn read_metadata(gateway: &Gateway, parts: &Parts) -> Result<RequestMetadata, ErrorResponse> {
     if parts.headers.get_all(HOST).iter().count() > 1 {
         return Err(ErrorResponse::new(StatusCode::BAD_REQUEST, "the request can be read in two ways"));
     }
-    let head = gateway.wire.read_request(&parts.headers);
-    head.map_err(|error| ErrorResponse::new(StatusCode::BAD_REQUEST, error))
+    let metadata = gateway.wire.read_request(&parts.headers);
+    metadata.map_err(|error| ErrorResponse::new(StatusCode::BAD_REQUEST, error))
 }
 
 fn find_route(table: &RouteTable, parts: &Parts) -> Result<Arc<Route>, ErrorResponse> {
@@ -254,7 +254,7 @@
 }
 
 fn dispatch_request(ctx: &RequestContext, now: Timestamp, tried: &[ServerKey]) -> dispatch::Request {
-    let finish_in = ctx.head.finish_in.unwrap_or_else(|| ctx.deadline.since(now));
+    let finish_in = ctx.metadata.finish_in.unwrap_or_else(|| ctx.deadline.since(now));
     dispatch::Request {
         ticket: 0,
         service: ctx.service.clone(),
@@ -263,7 +263,7 @@
         patience: ctx.route.objective / QUEUE_WAIT_DIVISOR,
         deadline: ctx.deadline,
         finish_by: ctx.arrived_at + finish_in,
-        affinity: ctx.head.affinity.filter(|_| ctx.route.sticky),
+        affinity: ctx.metadata.affinity.filter(|_| ctx.route.sticky),
         avoid: tried.to_vec(),
     }
 }
--- a/agatetrestle/src/gateway/reserve.rs
+++ b/agatetrestle/src/gateway/reserve.rs
@@ -21,8 +21,8 @@
 
 /// Whether a request has to reserve a turn, because it has a token budget or its route retains turns.
 pub(super) fn needs_turn(ctx: &RequestContext) -> bool {
-    let tracked = ctx.head.token_budget.is_some() || ctx.route.retention.is_some();
-    ctx.route.is_streaming() && ctx.head.program.is_some() && tracked
+    let tracked = ctx.metadata.token_budget.is_some() || ctx.route.retention.is_some();
+    ctx.route.is_streaming() && ctx.metadata.program.is_some() && tracked
 }
 
 fn has_allowance(ctx: &RequestContext) -> bool {
@@ -34,8 +34,11 @@
     if !has_allowance(ctx) {
         return Ok(());
     }
-    let command =
-        TurnCommand::Take(Take { team: ctx.team_name(), program: ctx.head.program.clone(), begins: false });
+    let command = TurnCommand::Take(Take {
+        team: ctx.team_name(),
+        program: ctx.metadata.program.clone(),
+        begins: false,
+    });
     let left = ctx.deadline.since(gateway.clock.now());
     let reply = within(left, gateway.turns.commit(command)).await;
     match reply.unwrap_or_else(|| Err(GroupError::NotProposed { reason: "no account answers".into() })) {
@@ -56,16 +59,16 @@
         places: gateway.dispatch.borrow().places(&ctx.service),
         charge: has_allowance(ctx),
         patience: millis(ctx.deadline.since(gateway.clock.now())),
-        finish_in: ctx.head.finish_in.map(millis),
+        finish_in: ctx.metadata.finish_in.map(millis),
         begins: !ctx.program_started,
     };
     let begin = Begin {
-        program: ctx.head.program.clone().unwrap_or_default(),
+        program: ctx.metadata.program.clone().unwrap_or_default(),
         team: ctx.team_name(),
         turn: ctx.attempt_id.clone(),
-        budget: ctx.head.token_budget,
-        most: ctx.head.max_tokens.unwrap_or(0),
-        previous: ctx.head.previous_turn.clone().filter(|_| ctx.route.retention.is_some()),
+        budget: ctx.metadata.token_budget,
+        most: ctx.metadata.max_tokens.unwrap_or(0),
+        previous: ctx.metadata.previous_turn.clone().filter(|_| ctx.route.retention.is_some()),
         carried: Vec::new(),
         opening: Some(opening),
     };
--- a/agatetrestle/src/gateway/tests.rs
+++ b/agatetrestle/src/gateway/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parser for server-sent events and of request priorities.
+//! Tests of the splitting of server-sent events and of request priorities.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,42 +8,42 @@
 
 use crate::clock::Timestamp;
 use crate::gateway::context::RequestContext;
-use crate::gateway::sse::SseParser;
+use crate::gateway::event_splitter::EventSplitter;
 use crate::gateway::wire::RequestMetadata;
 use crate::routing::Route;
 use crate::routing::RouteKind;
 use crate::routing::Team;
 
-fn parse(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>) {
-    let mut parser = SseParser::default();
+fn split(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, Vec<u8>) {
+    let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
     for piece in pieces {
-        parser.push(piece);
-        while let Some(event) = parser.next_event() {
+        splitter.push(piece);
+        while let Some(event) = splitter.next_event() {
             events.push(event.0.to_vec());
         }
     }
-    (events, parser.into_remainder().to_vec())
+    (events, splitter.into_remainder().to_vec())
 }
 
 #[test]
 fn splits_events_at_empty_lines() {
-    let (events, remainder) = parse(&[b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda"]);
+    let (events, remainder) = split(&[b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda"]);
     assert_eq!(events, [b"id: 1\ndata: a\n\n".to_vec(), b"id: 2\r\ndata: b\r\n\r\n".to_vec()]);
     assert_eq!(remainder, b"id: 3\nda");
 }
 
 #[test]
 fn joins_data_lines_of_an_event() {
-    let mut parser = SseParser::default();
-    parser.push(b"weights: 3\nid: 1\ndata: one\ndata:two\n\nid: 2\n\n");
-    assert_eq!(parser.next_event().and_then(|event| event.data()), Some(b"one\ntwo".to_vec()));
-    assert_eq!(parser.next_event().and_then(|event| event.data()), None);
+    let mut splitter = EventSplitter::default();
+    splitter.push(b"weights: 3\nid: 1\ndata: one\ndata:two\n\nid: 2\n\n");
+    assert_eq!(splitter.next_event().and_then(|event| event.data()), Some(b"one\ntwo".to_vec()));
+    assert_eq!(splitter.next_event().and_then(|event| event.data()), None);
 }
 
 proptest! {
     #[test]
-    fn parses_the_same_events_however_the_stream_is_split(
+    fn events_do_not_depend_on_chunk_boundaries(
         text in "(id: [0-9]\n|data: [a-c]{0,3}\n|\n|\r\n){0,12}",
         cuts in prop::collection::vec(0_usize..80, 0..6),
     ) {
@@ -52,8 +52,8 @@
         ends.extend([0, bytes.len()]);
         ends.sort_unstable();
         let pieces: Vec<&[u8]> = ends.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect();
-        let (events, remainder) = parse(&pieces);
-        prop_assert_eq!((events.clone(), remainder.clone()), parse(&[bytes]));
+        let (events, remainder) = split(&pieces);
+        prop_assert_eq!((events.clone(), remainder.clone()), split(&[bytes]));
         prop_assert_eq!([events.concat(), remainder].concat(), bytes);
     }
 }
@@ -83,7 +83,10 @@
         .map(|priority| Arc::new(Team { name: "t".into(), keys: Vec::new(), priority, allowance: None }));
     RequestContext {
         parts: http::Request::new(()).into_parts().0,
-        head: RequestMetadata { finish_in: left_ms.map(Duration::from_millis), ..RequestMetadata::default() },
+        metadata: RequestMetadata {
+            finish_in: left_ms.map(Duration::from_millis),
+            ..RequestMetadata::default()
+        },
         attempt_id: "a".into(),
         route: Arc::new(route),
         service: "s".into(),
--- a/agatetrestle/src/gateway/wire.rs
+++ b/agatetrestle/src/gateway/wire.rs
@@ -115,8 +115,8 @@
     /// Fails if a header has an invalid value.
     fn read_request(&self, headers: &HeaderMap) -> Result<RequestMetadata, ParseError>;
 
-    /// Rewrites a caller's headers for a backend server: removes those that callers must not set, then adds `head`.
-    fn write_forwarded(&self, headers: &mut HeaderMap, head: ForwardMetadata<'_>);
+    /// Rewrites a caller's headers for a backend server: removes those that callers must not set, then adds `metadata`.
+    fn write_forwarded(&self, headers: &mut HeaderMap, metadata: ForwardMetadata<'_>);
 
     /// Parses the headers of a backend server's response.
     fn read_response(&self, headers: &HeaderMap) -> ResponseMetadata;
