--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -225,9 +225,7 @@
     fn log_suspect(&self, server: ServerKey, until: Timestamp, usual: f64) {
         if let Some((id, address)) = self.address(server) {
             let rest_ms = until.since(self.clock.now()).as_millis();
-            warn!(
-                "server={id} address={address} is taken out of rotation: rest_ms={rest_ms} usual_failures={usual:.4}."
-            );
+            warn!("server={id} address={address} is suspected: rest_ms={rest_ms} usual_failures={usual:.4}.");
         }
     }
 
@@ -249,22 +247,22 @@
     fn routes(&self, document: &Document) {
         match self.wire.read_table(document.text.as_bytes()) {
             Ok(table) => {
-                info!("Applied routes version {}, revision {}.", table.version, document.revision);
+                info!("Routes of version {} are in force, revision {}.", table.version, document.revision);
                 self.bounds.head.set(table.limits.head);
                 self.bounds.head_time.set(table.limits.head_time);
                 self.bounds.idle.set(table.limits.idle);
                 self.table.replace(Some(Rc::new(table)));
             }
             // The control group accepted the table, so this node runs another build. It keeps its previous table.
-            Err(error) => warn!("Ignored invalid routes version {}: {error}.", document.version),
+            Err(error) => warn!("Routes of version {} are invalid and ignored: {error}.", document.version),
         }
     }
 
     fn backends(&self, instances: &[Instance]) {
         let decisions = self.dispatch.borrow_mut().replace_instances(self.clock.now(), instances);
         self.apply(decisions);
-        let draining = instances.iter().filter(|instance| instance.leaving).count();
-        info!("{} backend servers are listed, {draining} of them draining.", instances.len());
+        let leaving = instances.iter().filter(|instance| instance.leaving).count();
+        info!("{} backend servers are listed, {leaving} of them leaving.", instances.len());
     }
 }
 
