--- a/agatetrestle/src/dispatch/choice.rs
+++ b/agatetrestle/src/dispatch/choice.rs
@@ -1,4 +1,4 @@
-//! Which of the servers that take requests gets one.
+//! Choice of the server for a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,72 +7,78 @@
 
 use crate::clock::Timestamp;
 use crate::dispatch::Dispatch;
-use crate::dispatch::MEMORY;
+use crate::dispatch::LOAD_TTL_RANGE;
 use crate::dispatch::Request;
 use crate::dispatch::ServerKey;
 use crate::dispatch::server::Server;
-use crate::dispatch::server::affinity;
+use crate::dispatch::server::rendezvous_score;
 
-/// What a server in another failure domain, and one to which no connection is open, count as in requests: bytes between domains
-/// and new connections cost, but less than to wait behind one more request.
-const FAR: f64 = 0.25;
-const COLD: f64 = 0.3;
-/// Requests by which a server's load may exceed the least loaded one's before its cached prompts no longer
-/// speak for it. Reading a prompt again costs as much as some two requests of a batch slow the others.
-const AFFINITY_SLACK: f64 = 7.0;
+/// Load added for a server in another failure domain, in requests. Less than one, so that requests cross domains rather
+/// than queue.
+const REMOTE_ZONE_PENALTY: f64 = 0.25;
+/// Load added for a server to which no connection is likely to be open, in requests.
+const NEW_CONNECTION_PENALTY: f64 = 0.3;
+/// Requests by which the load of the server that has the prompt cached may exceed the least load.
+const AFFINITY_LOAD_SLACK: f64 = 7.0;
 
 impl Dispatch {
-    /// Requests of other nodes at one server of a service, by what answers told lately.
-    fn usual_others(&self, now: Timestamp, service: &Arc<str>, memory: Duration) -> f64 {
+    /// Mean load that other nodes put on a server of a service, by recent reports.
+    fn mean_other_load(&self, now: Timestamp, service: &Arc<str>, load_ttl: Duration) -> f64 {
         let servers = self.servers.values().filter(|server| server.serves(service));
         let (mut sum, mut count) = (0.0, 0.0);
-        for others in servers.filter_map(|server| server.recent_others(now, memory)) {
-            sum += others;
+        for load in servers.filter_map(|server| server.recent_other_load(now, load_ttl)) {
+            sum += load;
             count += 1.0;
         }
         if count > 0.0 { sum / count } else { 0.0 }
     }
 
-    /// The server with the least load, unless the one that has the prompt is hardly worse; `mean` is the time that a
-    /// request of the service takes. Servers against which much speaks are left out if there is another that takes
-    /// requests, even one that is full now. Among equals the own failure domain and open connections go first; the rest
-    /// is drawn by lot, so that many nodes don't all see the same free place.
-    pub(super) fn choose(&mut self, now: Timestamp, request: &Request, mean: Duration) -> Option<ServerKey> {
-        let draw = self.rng.below(u64::MAX);
-        let memory = mean.clamp(MEMORY.0, MEMORY.1);
-        let usual = self.usual_others(now, &request.service, memory);
-        let able = |key: &ServerKey, server: &Server| {
-            server.serves(&request.service) && server.usable(now) && !request.excluded.contains(key)
+    /// Chooses the least loaded server that is not full, or the one that has the prompt cached if its load is not much
+    /// higher. Ejected servers are used only if no other accepts the request, even if all others are full. Ties are
+    /// broken at random, so that nodes don't all choose the same free slot.
+    pub(super) fn choose(
+        &mut self,
+        now: Timestamp,
+        request: &Request,
+        service_time: Duration,
+    ) -> Option<ServerKey> {
+        let tie_seed = self.rng.below(u64::MAX);
+        let load_ttl = service_time.clamp(LOAD_TTL_RANGE.0, LOAD_TTL_RANGE.1);
+        let mean_other_load = self.mean_other_load(now, &request.service, load_ttl);
+        let eligible = |key: &ServerKey, server: &Server| {
+            server.serves(&request.service) && server.is_available(now) && !request.excluded.contains(key)
         };
-        let trusted = self.servers.iter().any(|(key, server)| able(&key, server) && !server.is_out(now));
-        let open = self.servers.iter().filter(|(key, server)| {
-            let wanted = able(key, server) && (!trusted || !server.is_out(now));
-            wanted && !server.is_full(now, memory, self.rules != Decisions::Places)
+        let any_healthy =
+            self.servers.iter().any(|(key, server)| eligible(&key, server) && !server.is_ejected(now));
+        let candidates = self.servers.iter().filter(|(key, server)| {
+            let allowed = eligible(key, server) && (!any_healthy || !server.is_ejected(now));
+            allowed && !server.is_full(now, load_ttl, self.policy != Decisions::Places)
         });
-        let scored: Vec<(ServerKey, f64, u64)> = open
+        let scored: Vec<(ServerKey, f64, u64)> = candidates
             .map(|(key, server)| {
-                let far = if server.instance.zone == self.zone { 0.0 } else { FAR };
-                let cold = if server.is_warm(now) { 0.0 } else { COLD };
-                let lot = affinity(draw, &server.instance.id);
-                (key, server.load(now, usual, memory) + far + cold, lot)
+                let remote = if server.instance.zone == self.zone { 0.0 } else { REMOTE_ZONE_PENALTY };
+                let connect = if server.has_warm_connection(now) { 0.0 } else { NEW_CONNECTION_PENALTY };
+                let tie_break = rendezvous_score(tie_seed, &server.instance.id);
+                (key, server.load(now, mean_other_load, load_ttl) + remote + connect, tie_break)
             })
             .collect();
         let best = scored.iter().min_by(|a, b| a.1.total_cmp(&b.1).then(a.2.cmp(&b.2)))?;
-        if self.rules == Decisions::RoundRobin {
-            self.turns += 1;
-            return Some(scored[self.turns % scored.len()].0);
+        if self.policy == Decisions::RoundRobin {
+            self.round_robin += 1;
+            return Some(scored[self.round_robin % scored.len()].0);
         }
-        let Some(shared) = request.affinity.filter(|_| self.rules != Decisions::LeastLoad) else {
+        let Some(affinity) = request.affinity.filter(|_| self.policy != Decisions::LeastLoad) else {
             return Some(best.0);
         };
-        let home = |near: bool| {
-            let able =
-                scored.iter().filter(|(key, ..)| !near || self.servers[*key].instance.zone == self.zone);
-            able.max_by_key(|(key, ..)| affinity(shared, &self.servers[*key].instance.id))
+        let preferred = |same_zone: bool| {
+            let in_scope =
+                scored.iter().filter(|(key, ..)| !same_zone || self.servers[*key].instance.zone == self.zone);
+            in_scope.max_by_key(|(key, ..)| rendezvous_score(affinity, &self.servers[*key].instance.id))
         };
-        // A program comes through the entries of one failure domain as long as they serve, so its home is there too.
-        let homes = [home(true), home(false)];
-        let fit = homes.into_iter().flatten().find(|home| home.1 <= best.1 + AFFINITY_SLACK);
-        Some(fit.unwrap_or(best).0)
+        // The requests of a program normally arrive in one failure domain, so its prompt is cached there.
+        let preferences = [preferred(true), preferred(false)];
+        let acceptable =
+            preferences.into_iter().flatten().find(|server| server.1 <= best.1 + AFFINITY_LOAD_SLACK);
+        Some(acceptable.unwrap_or(best).0)
     }
 }
--- a/agatetrestle/src/dispatch/decision.rs
+++ b/agatetrestle/src/dispatch/decision.rs
@@ -1,4 +1,4 @@
-//! What is decided on, and what is decided.
+//! Requests to dispatch and the decisions about them.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -7,71 +7,71 @@
 use crate::clock::Timestamp;
 use crate::dispatch::ServerKey;
 
-/// A request that wants to be sent.
+/// A request to dispatch.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Chosen by the driver, unique in the process.
+    /// Identifier assigned by the driver, unique in the process.
     pub ticket: u64,
-    /// The service that it goes to.
+    /// Service that it is addressed to.
     pub service: Arc<str>,
-    /// 0 for the most urgent.
+    /// 0 is the most urgent.
     pub priority: u8,
-    /// Whether its program has begun, so that turning it away wastes what was done.
+    /// Whether its program has already started, so that a rejection wastes completed work.
     pub started: bool,
-    /// Longest wait that is better than to be told to come back; for a program that has not begun.
+    /// Longest expected wait with which it is accepted, unless its program has started.
     pub max_wait: Duration,
-    /// When its answer is no longer of use.
+    /// When the caller stops waiting for the response.
     pub deadline: Timestamp,
-    /// When its program should be finished; the least time left goes first.
+    /// When its program should be finished; earlier ones are dispatched first.
     pub finish_by: Timestamp,
-    /// What requests have in common that share a prompt; none where that does not matter.
+    /// Hash of the prompt prefix that it shares with other requests, if cached prompts matter to its service.
     pub affinity: Option<u64>,
-    /// Servers that must not get it, since they had it before.
+    /// Servers that have already received it and must not receive it again.
     pub excluded: Vec<ServerKey>,
 }
 
-/// What becomes of a request.
+/// An action for the driver to carry out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it.
+    /// Send a request.
     Send {
-        /// The request.
+        /// The request's identifier.
         ticket: u64,
-        /// Where to.
+        /// The server to send it to.
         server: ServerKey,
     },
-    /// A server gets nothing for a while, since it fails more often than the others.
+    /// Report that a server is ejected because it fails more often than the others of its service.
     Eject {
-        /// The server.
+        /// The ejected server.
         server: ServerKey,
-        /// When it is tried again.
+        /// End of the ejection.
         until: Timestamp,
-        /// How often requests fail at servers of its service against which nothing speaks.
+        /// Failure rate of the healthy servers of its service.
         failure_rate: f64,
     },
-    /// The life of a server behind an address is over: a connection that was kept for it is of no use.
+    /// Drop the idle connections to an address, because the instance that listened there has ended.
     DropConnections {
-        /// The address, which another server may have by now.
+        /// The address, which another instance may have taken over.
         address: SocketAddrV4,
     },
-    /// Turn it away; it was not sent.
+    /// Reject a request that was not sent.
     Reject {
-        /// The request.
+        /// The request's identifier.
         ticket: u64,
-        /// When it is worth coming back.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
-        /// Why.
+        /// Why it is rejected.
         reason: RejectReason,
     },
 }
 
-/// Why a request is turned away.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RejectReason {
-    /// No server of the service takes requests.
+    /// No server of the service accepts requests.
     NoServer,
-    /// It would not be answered in time.
+    /// The response would miss the deadline, or the wait would exceed the request's maximum.
     TooLate,
-    /// Too many wait.
+    /// The queue of the service is full.
     QueueFull,
 }
--- a/agatetrestle/src/dispatch/mod.rs
+++ b/agatetrestle/src/dispatch/mod.rs
@@ -1,13 +1,13 @@
-//! Which waiting request goes next to which backend server, and which is turned away.
+//! Dispatch of queued requests to backend servers, and rejection of those that can't be served in time.
 //!
-//! Every node decides alone, with what it sends itself and what answers tell of the load by others. The slice is
-//! pure: time comes in as an argument. What each rule answers stands in docs/design/012-a-deployment-of-three-roles.md.
+//! Every node decides on its own, from the requests that it has sent and the loads that responses report. The slice
+//! is pure: time is an argument. The rules are described in docs/design/012-a-deployment-of-three-roles.md.
 
 mod choice;
 mod decision;
+mod outlier;
+mod response_starts;
 mod server;
-mod silence;
-mod suspicion;
 #[cfg(test)]
 mod tests;
 
@@ -28,53 +28,51 @@
 use slotmap::SlotMap;
 
 use crate::clock::Timestamp;
+use crate::dispatch::response_starts::ResponseStarts;
 use crate::dispatch::server::Server;
-use crate::dispatch::silence::Beginnings;
 use crate::health::failure_rates::FailureRates;
 use crate::health::max_ejected;
 use crate::scheduler::random::Random;
 
-/// Requests that may wait for one service on one node. Each holds its body in memory; 512 of some 20 KB stay
-/// within a tenth of the smallest VM.
-const QUEUE_LIMIT: usize = 512;
-/// The time a request is expected to take at a server before any was measured.
-const FIRST_ESTIMATE: Duration = Duration::from_millis(200);
-/// Share of a new time in the running mean, as a divisor: 16 requests are a fraction of a second under load.
-const MEAN_WEIGHT: u32 = 16;
-/// Shortest and longest time for which what answers told of others' load is believed. Between them it is the time that a
-/// request of the service takes, in which the load of a server is another one.
-const MEMORY: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(1));
-/// Shortest and longest wait that a caller is told. Below, coming back costs more than it gains; above, the caller's
-/// own deadline ends first.
-const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
-/// Size by which the risk of a request is looked up; sizes are not told apart here.
-const ANY_SIZE: u64 = 1;
-/// Order of service: what is lost already goes last, urgent kinds first, then programs that have begun, then the least
-/// time left. A program whose time is up earns little, and each one that goes before others makes them late as well.
-type Rank = (bool, u8, bool, Timestamp, u64);
+/// Requests that may wait for one service on one node. Bounds the memory for their bodies.
+const MAX_QUEUED_REQUESTS: usize = 512;
+/// Assumed service time until requests have completed.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(200);
+/// A completed request contributes this fraction of its time to the moving average.
+const SERVICE_TIME_DIVISOR: u32 = 16;
+/// Bounds of the time for which a reported load is used. Within them it is the mean service time, after which the
+/// requests that were reported have been replaced by others.
+const LOAD_TTL_RANGE: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(1));
+/// Bounds of the retry delay: shorter ones cost more than they gain, longer ones exceed the callers' deadlines.
+const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+/// Size for which failure rates are kept; they don't depend on the size of a request here.
+const UNIFORM_SIZE_TOKENS: u64 = 1;
+/// Queue order: requests that already miss their `finish_by` last, then by priority, requests of started programs
+/// first, then by `finish_by` and ticket.
+type QueueRank = (bool, u8, bool, Timestamp, u64);
 
 #[derive(Debug)]
 struct Queue {
-    waiting: BTreeMap<Rank, Request>,
-    mean: Duration,
-    /// How often requests fail at servers against which nothing speaks.
+    waiting: BTreeMap<QueueRank, Request>,
+    /// Moving average of the time from sending a request to the end of its response.
+    service_time: Duration,
+    /// Failure rates of the healthy servers.
     failure_rates: FailureRates,
-    /// Answers that began lately.
-    beginnings: Beginnings,
+    response_starts: ResponseStarts,
 }
 
 impl Default for Queue {
     fn default() -> Self {
         Self {
             waiting: BTreeMap::new(),
-            mean: FIRST_ESTIMATE,
+            service_time: INITIAL_SERVICE_TIME,
             failure_rates: FailureRates::default(),
-            beginnings: Beginnings::default(),
+            response_starts: ResponseStarts::default(),
         }
     }
 }
 
-/// The decisions of one node.
+/// The dispatch state of one node.
 #[derive(Debug)]
 pub struct Dispatch {
     servers: SlotMap<ServerKey, Server>,
@@ -82,13 +80,13 @@
     queues: HashMap<Arc<str>, Queue>,
     zone: Arc<str>,
     rng: Random,
-    rules: Decisions,
-    /// Counts what was sent, for servers in turn.
-    turns: usize,
+    policy: Decisions,
+    /// Position of the round-robin policy.
+    round_robin: usize,
 }
 
 impl Dispatch {
-    /// Decisions for a node in a failure domain.
+    /// Creates the state for a node in the failure domain `zone`.
     #[must_use]
     pub fn new(zone: Arc<str>, seed: u64) -> Self {
         Self {
@@ -97,34 +95,34 @@
             queues: HashMap::new(),
             zone,
             rng: Random::new(seed),
-            rules: Decisions::Own,
-            turns: 0,
+            policy: Decisions::Own,
+            round_robin: 0,
         }
     }
 
-    /// The same node with a baseline in place of one of its decisions, for comparisons.
+    /// Replaces one of the rules by a baseline, for comparisons.
     #[must_use]
-    pub fn with_policy(self, rules: Decisions) -> Self {
-        Self { rules, ..self }
+    pub fn with_policy(self, policy: Decisions) -> Self {
+        Self { policy, ..self }
     }
 
-    /// Takes in the list of backend servers. One that is not in it any more gets nothing, and neither does one that
-    /// once was told to leave: the list lags, so only signs of leaving are believed.
+    /// Updates the servers from a list. Servers that are missing from it get no more requests, and neither do servers
+    /// once known to be leaving: the list may be stale, so it can't revoke that.
     pub fn replace_instances(&mut self, now: Timestamp, instances: &[Instance]) -> Vec<Decision> {
         for server in self.servers.values_mut() {
             server.listed = false;
         }
         for instance in instances {
-            self.list(instance);
+            self.update_instance(instance);
         }
-        let mut decisions = self.drop_unlisted();
-        decisions.extend(self.pass_all(now));
+        let mut decisions = self.remove_unlisted();
+        decisions.extend(self.dispatch_all(now));
         decisions
     }
 
-    /// Takes in one server of the list. A later life under the same id is another server, of which nothing is known:
-    /// neither load nor suspicion nor an open connection, and that the earlier one was leaving says nothing.
-    fn list(&mut self, instance: &Instance) {
+    /// Adds or updates a listed server. A newer instance under a known id is added as another server, which takes over
+    /// nothing from the earlier one.
+    fn update_instance(&mut self, instance: &Instance) {
         let known = self.by_id.get(&instance.id).copied();
         match known.and_then(|key| self.servers.get_mut(key)) {
             Some(server) if !instance.is_newer_than(&server.instance) => server.update(instance),
@@ -135,21 +133,21 @@
         }
     }
 
-    /// Drops the servers that are not listed, once this node has nothing in service there.
-    fn drop_unlisted(&mut self) -> Vec<Decision> {
-        let mut ended = Vec::new();
+    /// Reports unlisted servers once, and removes them when none of this node's requests is in flight there.
+    fn remove_unlisted(&mut self) -> Vec<Decision> {
+        let mut decisions = Vec::new();
         let by_id = &mut self.by_id;
         self.servers.retain(|key, server| {
-            if !server.listed && !std::mem::replace(&mut server.ended, true) {
-                ended.push(Decision::DropConnections { address: server.instance.address });
+            if !server.listed && !std::mem::replace(&mut server.removal_reported, true) {
+                decisions.push(Decision::DropConnections { address: server.instance.address });
             }
-            let stays = server.listed || server.running > 0;
-            if !stays && by_id.get(&server.instance.id) == Some(&key) {
+            let retained = server.listed || server.in_flight > 0;
+            if !retained && by_id.get(&server.instance.id) == Some(&key) {
                 by_id.remove(&server.instance.id);
             }
-            stays
+            retained
         });
-        ended
+        decisions
     }
 
     /// The instance behind a key.
@@ -158,94 +156,98 @@
         self.servers.get(key).map(|server| &server.instance)
     }
 
-    /// All known instances with this node's requests in service there.
+    /// All known instances, each with the number of this node's requests in flight there.
     pub fn instances(&self) -> impl Iterator<Item = (&Instance, u32)> {
-        self.servers.values().map(|server| (&server.instance, server.running))
+        self.servers.values().map(|server| (&server.instance, server.in_flight))
     }
 
-    /// The keys of all known instances.
+    /// All known instances with their keys.
     pub fn instances_by_key(&self) -> impl Iterator<Item = (ServerKey, &Instance)> {
         self.servers.iter().map(|(key, server)| (key, &server.instance))
     }
 
-    /// Requests that the servers of a service run at once, of those that take any.
+    /// Total slots of the servers of a service that accept requests.
     #[must_use]
     pub fn total_slots(&self, service: &Arc<str>) -> u32 {
-        let taking = |server: &&Server| server.listed && !server.instance.leaving && server.serves(service);
-        self.servers.values().filter(taking).map(|server| server.instance.slots).sum()
+        let accepting =
+            |server: &&Server| server.listed && !server.instance.leaving && server.serves(service);
+        self.servers.values().filter(accepting).map(|server| server.instance.slots).sum()
     }
 
-    /// Requests that wait.
+    /// Number of queued requests of all services.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queues.values().map(|queue| queue.waiting.len()).sum()
     }
 
-    /// Takes in a request: it is sent, turned away at once, or waits for a later decision.
+    /// Adds a request, which is sent, rejected or queued.
     pub fn submit(&mut self, now: Timestamp, request: Request) -> Vec<Decision> {
         let service = request.service.clone();
-        let served = self.ready_in(now, &service, &request.excluded).is_some();
+        let served = self.time_until_available(now, &service, &request.excluded).is_some();
         let queue = self.queues.entry(service.clone()).or_default();
         let ticket = request.ticket;
-        let retry_after = queue.mean.clamp(RETRY_AFTER.0, RETRY_AFTER.1);
+        let retry_after = queue.service_time.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1);
         if !served {
             return vec![Decision::Reject { ticket, retry_after, reason: RejectReason::NoServer }];
         }
-        if queue.waiting.len() >= QUEUE_LIMIT {
+        if queue.waiting.len() >= MAX_QUEUED_REQUESTS {
             return vec![Decision::Reject { ticket, retry_after, reason: RejectReason::QueueFull }];
         }
-        let lost = request.finish_by < now + queue.mean;
-        let rank = match self.rules {
+        let late = request.finish_by < now + queue.service_time;
+        let rank = match self.policy {
             Decisions::FirstCome => (false, 0, false, Timestamp(0), ticket),
-            _ => (lost, request.priority, !request.started, request.finish_by, ticket),
+            _ => (late, request.priority, !request.started, request.finish_by, ticket),
         };
         queue.waiting.insert(rank, request);
-        self.pass(now, &service, Some(ticket))
+        self.dispatch_queue(now, &service, Some(ticket))
     }
 
-    /// Drops a request whose caller is gone.
+    /// Removes a queued request whose caller has disconnected.
     pub fn cancel(&mut self, ticket: u64) {
         for queue in self.queues.values_mut() {
             queue.waiting.retain(|_, request| request.ticket != ticket);
         }
     }
 
-    /// Takes in what the head of an answer tells of a server's load.
+    /// Records the load that a response header reports for a server.
     pub fn record_load(&mut self, now: Timestamp, key: ServerKey, load: ServerLoad) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.observe(now, load);
+            server.record_load(now, load);
         }
     }
 
-    /// Takes in that the answer to a request begins.
-    pub fn record_response_start(&mut self, now: Timestamp, service: &Arc<str>, sent: Timestamp) {
+    /// Records that the response to a request has started.
+    pub fn record_response_start(&mut self, now: Timestamp, service: &Arc<str>, sent_at: Timestamp) {
         if let Some(queue) = self.queues.get_mut(service) {
-            queue.beginnings.note(sent, now);
+            queue.response_starts.record(sent_at, now);
         }
     }
 
-    /// Whether the answer to a request that was sent then is missing in a way that tells of its server, not of the
-    /// service; `least` is what any may take.
+    /// Whether the response to a request is so late, compared with others of its service, that the server counts as
+    /// unresponsive. Never true before `min_age`.
     #[must_use]
     pub fn is_unresponsive(
         &self,
         now: Timestamp,
         service: &Arc<str>,
-        sent: Timestamp,
-        least: Duration,
+        sent_at: Timestamp,
+        min_age: Duration,
     ) -> bool {
-        self.rules != Decisions::Patient
-            && self.queues.get(service).is_some_and(|queue| queue.beginnings.miss(sent, now, least))
+        self.policy != Decisions::Patient
+            && self
+                .queues
+                .get(service)
+                .is_some_and(|queue| queue.response_starts.is_overdue(sent_at, now, min_age))
     }
 
-    /// Takes in that a server said it leaves or is another one.
+    /// Marks a server that has announced its shutdown, or at whose address another instance answers.
     pub fn mark_leaving(&mut self, key: ServerKey) {
         if let Some(server) = self.servers.get_mut(key) {
             server.instance.leaving = true;
         }
     }
 
-    /// Takes in that a request is no longer in service.
+    /// Records how a request ended, and dispatches queued requests to the freed slot.
     pub fn finish(&mut self, now: Timestamp, key: ServerKey, outcome: RequestOutcome) -> Vec<Decision> {
         let Some(server) = self.servers.get_mut(key) else {
             return Vec::new();
@@ -253,113 +255,127 @@
         let service = server.instance.service.clone();
         server.finish(now, outcome);
         let queue = self.queues.entry(service.clone()).or_default();
-        if let RequestOutcome::Completed(took) = outcome {
-            queue.mean = (queue.mean * (MEAN_WEIGHT - 1) + took) / MEAN_WEIGHT;
+        if let RequestOutcome::Completed(elapsed) = outcome {
+            queue.service_time =
+                (queue.service_time * (SERVICE_TIME_DIVISOR - 1) + elapsed) / SERVICE_TIME_DIVISOR;
         }
-        if let Some(failed) = server.weigh(now, outcome, queue.failure_rates.rate(ANY_SIZE)) {
-            queue.failure_rates.record(ANY_SIZE, failed);
+        if let Some(failed) =
+            server.record_outcome(now, outcome, queue.failure_rates.rate(UNIFORM_SIZE_TOKENS))
+        {
+            queue.failure_rates.record(UNIFORM_SIZE_TOKENS, failed);
         }
-        let usual = queue.failure_rates.rate(ANY_SIZE);
-        let suspected =
-            self.suspect(now, key).map(|until| Decision::Eject { server: key, until, failure_rate: usual });
-        let mut decisions: Vec<Decision> = suspected.into_iter().collect();
-        decisions.extend(self.pass(now, &service, None));
+        let failure_rate = queue.failure_rates.rate(UNIFORM_SIZE_TOKENS);
+        let ejected =
+            self.eject_outlier(now, key).map(|until| Decision::Eject { server: key, until, failure_rate });
+        let mut decisions: Vec<Decision> = ejected.into_iter().collect();
+        decisions.extend(self.dispatch_queue(now, &service, None));
         decisions
     }
 
-    /// Takes a server out for which the evidence suffices, unless too many of its service are out.
-    fn suspect(&mut self, now: Timestamp, key: ServerKey) -> Option<Timestamp> {
+    /// Ejects a server if the evidence suffices and not too many servers of its service are ejected already.
+    fn eject_outlier(&mut self, now: Timestamp, key: ServerKey) -> Option<Timestamp> {
         let service = self.servers.get(key)?.instance.service.clone();
         let of_service = || self.servers.values().filter(|server| server.serves(&service) && server.listed);
-        let out = of_service().filter(|server| server.is_out(now)).count();
-        if out >= max_ejected(of_service().count()) {
+        let ejected = of_service().filter(|server| server.is_ejected(now)).count();
+        if ejected >= max_ejected(of_service().count()) {
             return None;
         }
-        self.servers.get_mut(key)?.suspect(now)
+        self.servers.get_mut(key)?.eject_outlier(now)
     }
 
-    /// Lets time pass: rests end, and what can no longer be served is turned away.
+    /// Dispatches to servers whose backoff has ended and rejects requests that can no longer be served in time.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Decision> {
-        self.pass_all(now)
+        self.dispatch_all(now)
     }
 
-    fn pass_all(&mut self, now: Timestamp) -> Vec<Decision> {
+    fn dispatch_all(&mut self, now: Timestamp) -> Vec<Decision> {
         let services: Vec<Arc<str>> = self.queues.keys().cloned().collect();
-        services.iter().flat_map(|service| self.pass(now, service, None)).collect()
+        services.iter().flat_map(|service| self.dispatch_queue(now, service, None)).collect()
     }
 
-    /// Sends what can be sent in the order of service, then turns away what would come too late.
-    fn pass(&mut self, now: Timestamp, service: &Arc<str>, newcomer: Option<u64>) -> Vec<Decision> {
+    /// Sends as many requests of a service as possible in queue order, then rejects those that would be late. `added`
+    /// is the request that has just been submitted.
+    fn dispatch_queue(&mut self, now: Timestamp, service: &Arc<str>, added: Option<u64>) -> Vec<Decision> {
         let mut decisions = Vec::new();
         let Some(mut queue) = self.queues.remove(service) else {
             return decisions;
         };
-        let mut left = BTreeMap::new();
+        let mut remaining = BTreeMap::new();
         while let Some((rank, request)) = queue.waiting.pop_first() {
             if request.deadline <= now {
-                decisions.push(reject(&request, queue.mean, RejectReason::TooLate));
+                decisions.push(reject(&request, queue.service_time, RejectReason::TooLate));
                 continue;
             }
-            match self.choose(now, &request, queue.mean) {
-                Some(server) if self.comes_too_late(now, server, &request, queue.mean) => {
-                    decisions.push(reject(&request, queue.mean, RejectReason::TooLate));
+            match self.choose(now, &request, queue.service_time) {
+                Some(server) if self.misses_deadline(now, server, &request, queue.service_time) => {
+                    decisions.push(reject(&request, queue.service_time, RejectReason::TooLate));
                 }
                 Some(server) => {
-                    self.servers[server].running += 1;
+                    self.servers[server].in_flight += 1;
                     decisions.push(Decision::Send { ticket: request.ticket, server });
                 }
                 None if request.excluded.is_empty() => {
-                    left.insert(rank, request);
-                    left.append(&mut queue.waiting);
+                    remaining.insert(rank, request);
+                    remaining.append(&mut queue.waiting);
                 }
                 None => {
-                    left.insert(rank, request);
+                    remaining.insert(rank, request);
                 }
             }
         }
-        queue.waiting = left;
-        decisions.extend(self.turn_away(now, service, &mut queue, newcomer));
+        queue.waiting = remaining;
+        decisions.extend(self.reject_late(now, service, &mut queue, added));
         self.queues.insert(service.clone(), queue);
         decisions
     }
 
-    /// Whether a request would wait at a server for so long that its answer is of no use.
-    fn comes_too_late(&self, now: Timestamp, server: ServerKey, request: &Request, mean: Duration) -> bool {
-        let wait = self.servers[server].known_wait(now, mean.clamp(MEMORY.0, MEMORY.1), mean);
-        !wait.is_zero() && now + wait + mean > request.deadline
+    /// Whether a request would wait at a server for so long that its response would miss the deadline.
+    fn misses_deadline(
+        &self,
+        now: Timestamp,
+        server: ServerKey,
+        request: &Request,
+        service_time: Duration,
+    ) -> bool {
+        let load_ttl = service_time.clamp(LOAD_TTL_RANGE.0, LOAD_TTL_RANGE.1);
+        let wait = self.servers[server].known_wait(now, load_ttl, service_time);
+        !wait.is_zero() && now + wait + service_time > request.deadline
     }
 
-    /// Turns away at once what would wait beyond its deadline at the present pace. What was let in before is kept
-    /// until the pace has fallen to half of what it was let in by, since answers that come in waves make the pace
-    /// look slower for a moment; but never beyond the time at which it could still be served.
-    fn turn_away(
+    /// Rejects queued requests that would miss their deadlines at the current rate of service. Requests accepted
+    /// earlier count with half the queueing delay, since completions come in bursts and the rate may only seem low.
+    fn reject_late(
         &self,
         now: Timestamp,
         service: &Arc<str>,
         queue: &mut Queue,
-        newcomer: Option<u64>,
+        added: Option<u64>,
     ) -> Vec<Decision> {
-        if queue.waiting.is_empty() || self.rules == Decisions::NoRejection {
+        if queue.waiting.is_empty() || self.policy == Decisions::NoRejection {
             return Vec::new();
         }
-        let places = self.running(service).max(1);
-        let ready = self.ready_in(now, service, &[]);
+        let concurrency = self.in_flight(service).max(1);
+        let available_in = self.time_until_available(now, service, &[]);
         let mut decisions = Vec::new();
         let mut ahead = 0_u32;
         queue.waiting.retain(|_, request| {
             let retried = !request.excluded.is_empty();
-            let ready = if retried { self.ready_in(now, service, &request.excluded) } else { ready };
-            let Some(rest) = ready else {
-                decisions.push(reject(request, queue.mean, RejectReason::NoServer));
+            let available_in = if retried {
+                self.time_until_available(now, service, &request.excluded)
+            } else {
+                available_in
+            };
+            let Some(backoff) = available_in else {
+                decisions.push(reject(request, queue.service_time, RejectReason::NoServer));
                 return false;
             };
-            let turn = queue.mean * (ahead + 1) / places;
-            let wait = rest + turn;
-            let newcomer = Some(request.ticket) == newcomer;
-            let expected = if newcomer { wait } else { rest + turn / 2 };
-            let in_time = now + expected + queue.mean <= request.deadline;
-            let worth_waiting = request.started || !newcomer || wait <= request.max_wait;
-            if in_time && worth_waiting {
+            let queue_delay = queue.service_time * (ahead + 1) / concurrency;
+            let wait = backoff + queue_delay;
+            let is_new = Some(request.ticket) == added;
+            let expected_wait = if is_new { wait } else { backoff + queue_delay / 2 };
+            let in_time = now + expected_wait + queue.service_time <= request.deadline;
+            let wait_acceptable = request.started || !is_new || wait <= request.max_wait;
+            if in_time && wait_acceptable {
                 ahead += 1;
                 return true;
             }
@@ -369,21 +385,25 @@
         decisions
     }
 
-    /// How long it takes until a server of a service other than some takes requests again; none if there is no such
-    /// server. Servers that rest for longer than a request has time are as good as none.
-    fn ready_in(&self, now: Timestamp, service: &Arc<str>, avoid: &[ServerKey]) -> Option<Duration> {
+    /// Time until a server of the service that is not excluded accepts requests; none if there is no such server.
+    fn time_until_available(
+        &self,
+        now: Timestamp,
+        service: &Arc<str>,
+        excluded: &[ServerKey],
+    ) -> Option<Duration> {
         let servers =
-            self.servers.iter().filter(|(key, server)| server.serves(service) && !avoid.contains(key));
-        servers.filter_map(|(_, server)| server.rest_left(now)).min()
+            self.servers.iter().filter(|(key, server)| server.serves(service) && !excluded.contains(key));
+        servers.filter_map(|(_, server)| server.backoff_left(now)).min()
     }
 
-    /// This node's requests in service at all servers of a service.
-    fn running(&self, service: &Arc<str>) -> u32 {
-        self.servers.values().filter(|server| server.serves(service)).map(|server| server.running).sum()
+    /// This node's requests in flight at all servers of a service.
+    fn in_flight(&self, service: &Arc<str>) -> u32 {
+        self.servers.values().filter(|server| server.serves(service)).map(|server| server.in_flight).sum()
     }
 }
 
 fn reject(request: &Request, wait: Duration, reason: RejectReason) -> Decision {
-    let retry_after = wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1);
+    let retry_after = wait.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1);
     Decision::Reject { ticket: request.ticket, retry_after, reason }
 }
--- a/agatetrestle/src/dispatch/server.rs
+++ b/agatetrestle/src/dispatch/server.rs
@@ -1,4 +1,4 @@
-//! One backend server as a node sees it.
+//! The state of one backend server as seen by this node.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -10,103 +10,102 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::clock::Timestamp;
-use crate::dispatch::suspicion::Suspicion;
+use crate::dispatch::outlier::OutlierState;
 
-/// Requests beyond its places that a server is sent, as a share of the places. What waits there takes a place the
-/// moment it is free; what waits at a node hears of it with that node's next answer, which at a fiftieth of the traffic
-/// is late. A server that has no room says so, and has not run the request.
-const OVERFLOW: f64 = 1.0;
-/// Times in which what is usual was told; as many as it takes for a node that sends now and then to have heard of some.
-const USUAL_SPAN: u32 = 4;
-/// Time after an answer in which a connection is most likely open; servers close idle ones after some 10 s.
-const WARM: Duration = Duration::from_secs(5);
-/// How long a server rests after a failure that points at the server, doubled with each further one in a row.
-const REST: Duration = Duration::from_millis(250);
-/// Doublings of [`REST`]: 4 s at the most, since a replica that crashed stays listed for some seconds.
-const MOST_DOUBLINGS: u32 = 4;
-/// Failures in a row, other than of connecting, that are put down to chance: some replicas spoil 2 to 5 in a
-/// hundred answers, so three in a row are chance once in 8,000.
-const CHANCE_FAILURES: u32 = 2;
+/// Requests sent to a server beyond its slots, as a share of the slots. They take a freed slot at once, while requests
+/// queued at a node wait for its next response. A server that is full rejects a request without running it.
+const OVERCOMMIT_RATIO: f64 = 1.0;
+/// Age up to which reported loads count towards the mean of the service, in multiples of the load TTL.
+const MEAN_LOAD_TTL_FACTOR: u32 = 4;
+/// Time after a response for which its connection is likely to be open; servers close idle ones later.
+const WARM_CONNECTION_TIME: Duration = Duration::from_secs(5);
+/// First backoff after failures of a server; doubled with each further failure in a row.
+const BASE_BACKOFF: Duration = Duration::from_millis(250);
+/// Bounds the backoff, since a crashed server stays listed only for some seconds.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Bad responses in a row without a backoff, since healthy servers occasionally fail a request.
+const TOLERATED_FAILURES: u32 = 2;
 
 new_key_type! {
-    /// Key of a backend server while it is known.
+    /// Key of a known backend server.
     pub struct ServerKey;
 }
 
-/// One life of a backend server, as the platform lists it.
+/// One run of a backend server, as listed by the platform.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Instance {
-    /// Identity; another one after each restart, unless `born` tells the lives apart.
+    /// Identifier, which changes with each restart unless `born` does.
     pub id: Arc<str>,
-    /// The service that it serves.
+    /// Service that it runs.
     pub service: Arc<str>,
-    /// Where it listens; used again by another instance once this one is gone.
+    /// Listening address, which may be reused by another instance later.
     pub address: SocketAddrV4,
-    /// Its failure domain.
+    /// Failure domain that it is in.
     pub zone: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to stop.
+    /// Whether it is about to shut down.
     pub leaving: bool,
-    /// When this life began, in Unix milliseconds, where the platform says so. Only compared with that of another life
-    /// under the same id, never with a clock of ours.
+    /// Start time in Unix milliseconds, if the platform reports it. Compared only between instances with the same id,
+    /// never with the local clock.
     pub born: Option<u64>,
 }
 
 impl Instance {
-    /// Whether this is a later life than another one under the same id. A list that lags may name an earlier one.
+    /// Whether this instance started after another one with the same id.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
         self.born > other.born
     }
 }
 
-/// What an answer tells of a server's load, by all nodes together.
+/// Load of a server, from all nodes together, as reported in its responses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ServerLoad {
     /// Requests in service.
     pub running: u32,
-    /// Requests that wait inside the server.
+    /// Requests queued in the server.
     pub waiting: u32,
 }
 
-/// How a request at a server ended.
+/// How a request to a server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestOutcome {
-    /// Whole, in this time.
+    /// The response was complete after this time.
     Completed(Duration),
-    /// Whole, but it says that the server has failed.
+    /// The response was complete after this time and reports a failure of the server.
     ServerError(Duration),
-    /// The caller gave up after the server had said nothing for longer than such a request should take.
+    /// No response started within the expected time, so the node gave up on the server.
     Unresponsive,
     /// No connection could be made.
     Unreachable,
-    /// The server said that it has no room.
+    /// The server rejected the request because it is full.
     Full,
-    /// It broke off or answered what is no answer.
+    /// The response was cut off or malformed.
     BadResponse,
-    /// The caller went away, or the node gave up for a reason of its own.
+    /// The caller disconnected, or the node gave up for a reason that is not the server's.
     Cancelled,
 }
 
-/// A server with all that this node knows of it.
+/// A server and what this node knows about it.
 #[derive(Debug)]
 pub(super) struct Server {
     pub(super) instance: Instance,
     pub(super) listed: bool,
-    /// Whether it was told that this life is over.
-    pub(super) ended: bool,
-    /// This node's requests in service.
-    pub(super) running: u32,
-    others: f64,
-    observed_at: Timestamp,
-    rests_until: Timestamp,
-    failures: u32,
-    suspicion: Suspicion,
-    /// Until when requests rather go elsewhere, for what speaks against it.
-    out_until: Timestamp,
-    /// When an answer last left a connection that can be used again.
-    answered_at: Option<Timestamp>,
+    /// Whether its removal from the list has been reported.
+    pub(super) removal_reported: bool,
+    /// This node's requests in flight.
+    pub(super) in_flight: u32,
+    /// Requests of other nodes, as last reported.
+    other_load: f64,
+    load_reported_at: Timestamp,
+    backoff_until: Timestamp,
+    consecutive_failures: u32,
+    outlier: OutlierState,
+    /// End of the ejection, during which other servers are preferred.
+    ejected_until: Timestamp,
+    /// When the last complete response left a reusable connection.
+    last_response_at: Option<Timestamp>,
 }
 
 impl Server {
@@ -114,23 +113,23 @@
         Self {
             instance: instance.clone(),
             listed: true,
-            ended: false,
-            running: 0,
-            others: 0.0,
-            observed_at: Timestamp(0),
-            rests_until: Timestamp(0),
-            failures: 0,
-            suspicion: Suspicion::default(),
-            out_until: Timestamp(0),
-            answered_at: None,
+            removal_reported: false,
+            in_flight: 0,
+            other_load: 0.0,
+            load_reported_at: Timestamp(0),
+            backoff_until: Timestamp(0),
+            consecutive_failures: 0,
+            outlier: OutlierState::default(),
+            ejected_until: Timestamp(0),
+            last_response_at: None,
         }
     }
 
     pub(super) fn update(&mut self, instance: &Instance) {
         self.listed = true;
-        self.ended = false;
+        self.removal_reported = false;
         if self.instance.is_newer_than(instance) && instance.born.is_some() {
-            // The list lags and names a life that is over.
+            // The list is stale and names an earlier instance.
             return;
         }
         let leaving = self.instance.leaving || instance.leaving;
@@ -142,75 +141,79 @@
         self.instance.service == *service
     }
 
-    /// How long it rests after a failure of the moment; none where it takes no request any more.
-    pub(super) fn rest_left(&self, now: Timestamp) -> Option<Duration> {
-        (self.listed && !self.instance.leaving).then(|| self.rests_until.since(now))
+    /// Time until its backoff ends; none if it accepts no more requests.
+    pub(super) fn backoff_left(&self, now: Timestamp) -> Option<Duration> {
+        (self.listed && !self.instance.leaving).then(|| self.backoff_until.since(now))
     }
 
-    /// Whether it takes requests now, though they may rather go elsewhere.
-    pub(super) fn usable(&self, now: Timestamp) -> bool {
-        self.rest_left(now) == Some(Duration::ZERO)
+    /// Whether it accepts requests now. An ejected server does.
+    pub(super) fn is_available(&self, now: Timestamp) -> bool {
+        self.backoff_left(now) == Some(Duration::ZERO)
     }
 
-    /// Requests there; those of others as far as answers told within `memory`, and as `usual` among servers of the
-    /// service once that is old.
-    pub(super) fn load(&self, now: Timestamp, usual: f64, memory: Duration) -> f64 {
-        let age = now.since(self.observed_at).as_secs_f64() / memory.as_secs_f64();
-        let trust = (1.0 - age).max(0.0);
-        f64::from(self.running) + self.others * trust + usual * (1.0 - trust)
+    /// Estimated requests there. Over the TTL, the reported load of other nodes is replaced gradually by the mean of the
+    /// service.
+    pub(super) fn load(&self, now: Timestamp, mean_other_load: f64, load_ttl: Duration) -> f64 {
+        let age = now.since(self.load_reported_at).as_secs_f64() / load_ttl.as_secs_f64();
+        let weight = (1.0 - age).max(0.0);
+        f64::from(self.in_flight) + self.other_load * weight + mean_other_load * (1.0 - weight)
     }
 
-    /// Whether it is known to have no room. What was told of the requests of others counts while it is fresh; after
-    /// that nobody knows, and a node that sent nothing for what it once heard would never hear otherwise. When it was
-    /// believed for longer, 24 in 100 calls waited for over 0.3 s in a burst before servers whose calls took 11 ms
-    /// (53 nodes, seven servers, by the lines of the requests).
-    pub(super) fn is_full(&self, now: Timestamp, memory: Duration, overflow: bool) -> bool {
-        let places = f64::from(self.instance.slots);
-        self.known_load(now, memory) >= if overflow { places * (1.0 + OVERFLOW) } else { places }
+    /// Whether it is known to be full, with `overcommit` beyond its slots. An expired load report is ignored: a node that
+    /// went by it would send nothing and never receive a newer one.
+    pub(super) fn is_full(&self, now: Timestamp, load_ttl: Duration, overcommit: bool) -> bool {
+        let slots = f64::from(self.instance.slots);
+        self.known_load(now, load_ttl) >= if overcommit { slots * (1.0 + OVERCOMMIT_RATIO) } else { slots }
     }
 
-    /// How long one more request is known to wait there, if a request takes `mean`.
-    pub(super) fn known_wait(&self, now: Timestamp, memory: Duration, mean: Duration) -> Duration {
-        let places = f64::from(self.instance.slots.max(1));
-        let beyond = self.known_load(now, memory) + 1.0 - places;
-        mean.mul_f64((beyond / places).max(0.0))
+    /// Expected queueing delay of one more request, by the known load.
+    pub(super) fn known_wait(&self, now: Timestamp, load_ttl: Duration, service_time: Duration) -> Duration {
+        let slots = f64::from(self.instance.slots.max(1));
+        let excess = self.known_load(now, load_ttl) + 1.0 - slots;
+        service_time.mul_f64((excess / slots).max(0.0))
     }
 
-    fn known_load(&self, now: Timestamp, memory: Duration) -> f64 {
-        let others = if now.since(self.observed_at) < memory { self.others } else { 0.0 };
-        f64::from(self.running) + others
+    fn known_load(&self, now: Timestamp, load_ttl: Duration) -> f64 {
+        let other_load = if now.since(self.load_reported_at) < load_ttl { self.other_load } else { 0.0 };
+        f64::from(self.in_flight) + other_load
     }
 
-    /// Requests of other nodes there as last told, if that is recent enough to say what is usual.
-    pub(super) fn recent_others(&self, now: Timestamp, memory: Duration) -> Option<f64> {
-        (self.observed_at > Timestamp(0) && now.since(self.observed_at) < memory * USUAL_SPAN)
-            .then_some(self.others)
+    /// Requests of other nodes there, if reported recently enough to count towards the mean of the service.
+    pub(super) fn recent_other_load(&self, now: Timestamp, load_ttl: Duration) -> Option<f64> {
+        let recent = now.since(self.load_reported_at) < load_ttl * MEAN_LOAD_TTL_FACTOR;
+        (self.load_reported_at > Timestamp(0) && recent).then_some(self.other_load)
     }
 
-    pub(super) fn observe(&mut self, now: Timestamp, load: ServerLoad) {
-        let told = f64::from(load.running.saturating_add(load.waiting));
-        self.others = (told - f64::from(self.running)).max(0.0);
-        self.observed_at = now;
+    pub(super) fn record_load(&mut self, now: Timestamp, load: ServerLoad) {
+        let total = f64::from(load.running.saturating_add(load.waiting));
+        self.other_load = (total - f64::from(self.in_flight)).max(0.0);
+        self.load_reported_at = now;
     }
 
     pub(super) fn finish(&mut self, now: Timestamp, outcome: RequestOutcome) {
-        self.running = self.running.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
             RequestOutcome::Completed(_) | RequestOutcome::ServerError(_) => {
-                self.failures = 0;
-                self.answered_at = Some(now);
+                self.consecutive_failures = 0;
+                self.last_response_at = Some(now);
             }
             RequestOutcome::Cancelled | RequestOutcome::Unresponsive => {}
-            RequestOutcome::Full => self.rests_until = now + REST / 4,
-            RequestOutcome::Unreachable => self.rest(now, 0),
-            RequestOutcome::BadResponse => self.rest(now, CHANCE_FAILURES),
+            RequestOutcome::Full => self.backoff_until = now + BASE_BACKOFF / 4,
+            RequestOutcome::Unreachable => self.back_off(now, 0),
+            RequestOutcome::BadResponse => self.back_off(now, TOLERATED_FAILURES),
         }
     }
 
-    /// Weighs an outcome against what is usual in the pool; whether it tells of the usual itself.
-    pub(super) fn weigh(&mut self, now: Timestamp, outcome: RequestOutcome, risk: f64) -> Option<bool> {
-        if self.is_out(now) {
-            // It was sent before the server was taken out, so it says nothing that was not known then.
+    /// Records an outcome for outlier detection. Returns whether the request failed if the outcome counts towards the
+    /// failure rate of the service.
+    pub(super) fn record_outcome(
+        &mut self,
+        now: Timestamp,
+        outcome: RequestOutcome,
+        expected_rate: f64,
+    ) -> Option<bool> {
+        if self.is_ejected(now) {
+            // Most likely sent before the ejection, so it is no new evidence.
             return None;
         }
         let failed = match outcome {
@@ -220,39 +223,38 @@
             }
             RequestOutcome::Cancelled | RequestOutcome::Full | RequestOutcome::Unreachable => return None,
         };
-        self.suspicion.record(failed, risk);
-        self.suspicion.is_calm().then_some(failed)
+        self.outlier.record(failed, expected_rate);
+        self.outlier.is_healthy().then_some(failed)
     }
 
-    /// Takes the server out for a while if enough speaks against it; when it comes back. Requests for which there is
-    /// no other server still go to it.
-    pub(super) fn suspect(&mut self, now: Timestamp) -> Option<Timestamp> {
-        let until = now + self.suspicion.alarm()?;
-        self.out_until = until;
+    /// Ejects the server if the evidence suffices, and returns until when. Requests that no other server accepts are
+    /// still sent to it.
+    pub(super) fn eject_outlier(&mut self, now: Timestamp) -> Option<Timestamp> {
+        let until = now + self.outlier.eject()?;
+        self.ejected_until = until;
         Some(until)
     }
 
-    /// Whether it is out for what speaks against it.
-    pub(super) fn is_out(&self, now: Timestamp) -> bool {
-        now < self.out_until
+    pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
+        now < self.ejected_until
     }
 
-    /// Whether a connection to it is most likely open.
-    pub(super) fn is_warm(&self, now: Timestamp) -> bool {
-        self.answered_at.is_some_and(|at| now.since(at) < WARM)
+    /// Whether a connection to it is likely to be open.
+    pub(super) fn has_warm_connection(&self, now: Timestamp) -> bool {
+        self.last_response_at.is_some_and(|at| now.since(at) < WARM_CONNECTION_TIME)
     }
 
-    fn rest(&mut self, now: Timestamp, by_chance: u32) {
-        self.failures += 1;
-        if self.failures > by_chance {
-            let doublings = (self.failures - by_chance - 1).min(MOST_DOUBLINGS);
-            self.rests_until = now + REST * 2_u32.pow(doublings);
+    fn back_off(&mut self, now: Timestamp, tolerated: u32) {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures > tolerated {
+            let doublings = (self.consecutive_failures - tolerated - 1).min(MAX_BACKOFF_DOUBLINGS);
+            self.backoff_until = now + BASE_BACKOFF * 2_u32.pow(doublings);
         }
     }
 }
 
-/// How much a server is preferred by what a seed stands for; the same on every node, so that requests that share a
-/// prompt meet at one server whichever node they come through (rendezvous hashing).
-pub(super) fn affinity(seed: u64, id: &str) -> u64 {
+/// Rendezvous hash: the server with the highest score for a seed is the same on every node, so requests that share a
+/// prompt reach the same server.
+pub(super) fn rendezvous_score(seed: u64, id: &str) -> u64 {
     xxh3_64_with_seed(id.as_bytes(), seed)
 }
--- a/agatetrestle/src/dispatch/tests.rs
+++ b/agatetrestle/src/dispatch/tests.rs
@@ -1,12 +1,12 @@
-//! Tests of the decisions of a node, among them the loads that they answer.
+//! Tests of dispatch decisions.
 
 use agatetrestle_config::deployment::Decisions;
 
 use super::*;
 
-mod pool;
-mod silent;
-mod stale;
+mod simulation;
+mod stale_load;
+mod unresponsive;
 
 const SERVICE: &str = "engines";
 
@@ -57,25 +57,25 @@
 fn server_of(decisions: &[Decision]) -> ServerKey {
     match decisions {
         [Decision::Send { server, .. }] => *server,
-        other => panic!("not sent alone: {other:?}"),
+        other => panic!("expected one Send: {other:?}"),
     }
 }
 
-const WHOLE: RequestOutcome = RequestOutcome::Completed(Duration::from_millis(100));
+const COMPLETED: RequestOutcome = RequestOutcome::Completed(Duration::from_millis(100));
 
 #[test]
-fn requests_spread_over_the_servers_and_then_wait() {
+fn spreads_requests_then_queues() {
     let mut dispatch = dispatch(&[instance("x", 2, "a"), instance("y", 2, "a")]);
     for ticket in 0..8 {
         assert_eq!(sent(&dispatch.submit(at(1), request(ticket, 4_000))), [ticket]);
     }
-    assert!(dispatch.instances().all(|(_, running)| running == 4), "two in their places and two behind them");
+    assert!(dispatch.instances().all(|(_, running)| running == 4), "2 in slots and 2 queued at each server");
     assert_eq!(dispatch.submit(at(1), request(8, 4_000)), []);
     assert_eq!(dispatch.waiting(), 1);
 }
 
 #[test]
-fn a_free_place_goes_to_the_urgent_then_to_begun_programs_then_to_the_least_time_left() {
+fn orders_by_priority_start_and_deadline() {
     let mut dispatch = dispatch(&[instance("x", 1, "a")]);
     let server = server_of(&dispatch.submit(at(0), request(0, 9_000)));
     dispatch.submit(at(0), request(10, 9_000));
@@ -85,13 +85,13 @@
     dispatch.submit(at(0), Request { priority: 0, ..request(4, 9_900) });
     let mut order = Vec::new();
     for step in 1..=4 {
-        order.extend(sent(&dispatch.finish(at(step), server, WHOLE)));
+        order.extend(sent(&dispatch.finish(at(step), server, COMPLETED)));
     }
     assert_eq!(order, [4, 3, 2, 1]);
 }
 
 #[test]
-fn what_can_not_be_served_in_time_is_turned_away_at_once() {
+fn rejects_late_requests_at_once() {
     let mut dispatch = dispatch(&[instance("x", 1, "a")]);
     dispatch.submit(at(0), request(0, 4_000));
     let decisions = dispatch.submit(at(0), request(1, 150));
@@ -102,19 +102,19 @@
 }
 
 #[test]
-fn a_burst_beyond_the_places_turns_away_the_rest_at_once_and_serves_what_it_took() {
-    // 8 places of 100 ms serve 80 requests a second; 400 come at once, each with a second left.
+fn rejects_excess_of_burst_at_once() {
+    // 8 slots at 100 ms serve 80 requests per second; 400 arrive at once with deadlines in 1 s.
     let mut dispatch = dispatch(&[instance("x", 4, "a"), instance("y", 4, "a")]);
     let mut in_service = Vec::new();
-    let mut turned_away = 0;
+    let mut rejected = 0;
     let mut take = |decisions: Vec<Decision>, now: u64, in_service: &mut Vec<(u64, ServerKey)>| {
         for decision in decisions {
             match decision {
                 Decision::Send { server, .. } => in_service.push((now + 100, server)),
                 Decision::Reject { retry_after, .. } => {
-                    assert!(retry_after >= RETRY_AFTER.0 && retry_after <= RETRY_AFTER.1);
-                    assert_eq!(now, 0, "a request is turned away when it comes, not while it waits");
-                    turned_away += 1;
+                    assert!(retry_after >= RETRY_AFTER_RANGE.0 && retry_after <= RETRY_AFTER_RANGE.1);
+                    assert_eq!(now, 0, "rejected on arrival, not after a wait");
+                    rejected += 1;
                 }
                 Decision::DropConnections { .. } | Decision::Eject { .. } => panic!("no server failed"),
             }
@@ -125,19 +125,19 @@
     }
     let mut answered = 0;
     for now in 1..1_000 {
-        while let Some(place) = in_service.iter().position(|(end, _)| *end <= now) {
-            let (_, server) = in_service.swap_remove(place);
+        while let Some(index) = in_service.iter().position(|(end, _)| *end <= now) {
+            let (_, server) = in_service.swap_remove(index);
             answered += 1;
-            take(dispatch.finish(at(now), server, WHOLE), now, &mut in_service);
+            take(dispatch.finish(at(now), server, COMPLETED), now, &mut in_service);
         }
     }
-    assert_eq!(answered + turned_away, 400);
+    assert_eq!(answered + rejected, 400);
     assert!(answered >= 30, "{answered} were answered");
     assert_eq!(dispatch.waiting(), 0);
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_even_if_a_lagging_list_calls_it_ready() {
+fn stale_list_does_not_revive_leaving_server() {
     let mut dispatch = dispatch(&[instance("x", 4, "a")]);
     let server = server_of(&dispatch.submit(at(0), request(0, 4_000)));
     dispatch.mark_leaving(server);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn an_unreachable_server_rests_and_its_requests_wait_for_it_if_it_is_the_only_one() {
+fn queues_while_only_server_backs_off() {
     let mut dispatch = dispatch(&[instance("x", 4, "a")]);
     let server = server_of(&dispatch.submit(at(0), request(0, 4_000)));
     dispatch.finish(at(1), server, RequestOutcome::Unreachable);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_server_that_is_busy_with_the_requests_of_other_nodes_is_left_alone() {
+fn avoids_server_loaded_by_other_nodes() {
     let mut dispatch = dispatch(&[instance("x", 4, "a"), instance("y", 4, "a")]);
     let first = server_of(&dispatch.submit(at(0), request(0, 4_000)));
     dispatch.record_load(at(0), first, ServerLoad { running: 4, waiting: 1 });
@@ -166,54 +166,54 @@
 }
 
 #[test]
-fn requests_that_share_a_prompt_meet_at_one_server_whichever_node_they_come_through() {
+fn nodes_agree_on_server_for_prompt() {
     let instances: Vec<Instance> = (0..9).map(|n| instance(&format!("i-{n}"), 16, "a")).collect();
-    let place = |seed: u64, shared: u64| {
+    let chosen = |seed: u64, affinity: u64| {
         let mut dispatch = Dispatch::new("a".into(), seed);
         dispatch.replace_instances(at(0), &instances);
-        let decisions = dispatch.submit(at(0), Request { affinity: Some(shared), ..request(0, 4_000) });
+        let decisions = dispatch.submit(at(0), Request { affinity: Some(affinity), ..request(0, 4_000) });
         dispatch.instance(server_of(&decisions)).unwrap().id.clone()
     };
-    for shared in 0..20 {
-        assert_eq!(place(1, shared), place(2, shared));
+    for affinity in 0..20 {
+        assert_eq!(chosen(1, affinity), chosen(2, affinity));
     }
 }
 
 #[test]
-fn a_program_whose_time_is_up_goes_after_all_that_can_still_end_in_time() {
+fn late_programs_go_last() {
     let mut dispatch = dispatch(&[instance("x", 1, "a")]);
     let server = server_of(&dispatch.submit(at(0), request(0, 9_000)));
     dispatch.submit(at(0), request(10, 9_000));
-    let lost = Request { finish_by: at(1), priority: 0, started: true, ..request(1, 9_000) };
-    dispatch.submit(at(10), lost);
+    let late = Request { finish_by: at(1), priority: 0, started: true, ..request(1, 9_000) };
+    dispatch.submit(at(10), late);
     dispatch.submit(at(10), request(2, 9_000));
-    assert_eq!(sent(&dispatch.finish(at(20), server, WHOLE)), [2]);
-    assert_eq!(sent(&dispatch.finish(at(30), server, WHOLE)), [1]);
+    assert_eq!(sent(&dispatch.finish(at(20), server, COMPLETED)), [2]);
+    assert_eq!(sent(&dispatch.finish(at(30), server, COMPLETED)), [1]);
 }
 
 #[test]
-fn in_a_burst_new_programs_are_told_at_once_to_come_back_and_begun_ones_wait() {
+fn rejects_new_programs_but_queues_started_ones() {
     let mut dispatch = dispatch(&[instance("x", 2, "a")]);
     for ticket in 10..14 {
         dispatch.submit(at(0), request(ticket, 9_000));
     }
     let max_wait = Duration::from_millis(100);
     for ticket in 2..6 {
-        let begun = Request { started: true, max_wait, ..request(ticket, 9_000) };
-        assert_eq!(dispatch.submit(at(1), begun), []);
+        let started = Request { started: true, max_wait, ..request(ticket, 9_000) };
+        assert_eq!(dispatch.submit(at(1), started), []);
     }
     let decisions = dispatch.submit(at(1), Request { max_wait, ..request(6, 9_000) });
     let [Decision::Reject { ticket: 6, retry_after, .. }] = decisions[..] else {
-        panic!("not turned away: {decisions:?}");
+        panic!("not rejected: {decisions:?}");
     };
-    assert!(retry_after > max_wait, "it comes back when a place is expected, not before");
+    assert!(retry_after > max_wait, "it retries when a slot is expected to be free");
     assert_eq!(dispatch.waiting(), 4);
 }
 
 #[test]
-fn a_server_of_which_nothing_was_heard_is_taken_to_be_as_busy_as_the_others() {
-    // Two servers told lately of 6 requests of other nodes each; this node sends them 2 each. The third told of 6 too,
-    // but so long ago that forgetting it would make it look idle and draw every request of every node.
+fn assumes_mean_load_after_stale_report() {
+    // x and y have recently reported 6 requests of other nodes each. The report of z is stale; counting it as idle would
+    // attract the requests of every node.
     let mut dispatch = dispatch(&[instance("x", 16, "a"), instance("y", 16, "a"), instance("z", 16, "a")]);
     let mut servers = Vec::new();
     for ticket in 0..3 {
@@ -229,31 +229,31 @@
     for ticket in 10..16 {
         to_third += u32::from(server_of(&dispatch.submit(at(1_000), request(ticket, 9_000))) == servers[2]);
     }
-    assert_eq!(to_third, 2, "each gets its third");
+    assert_eq!(to_third, 2, "each server gets a third");
 }
 
 #[test]
-fn of_idle_servers_the_one_with_an_open_connection_is_used_again() {
+fn prefers_idle_server_with_open_connection() {
     let instances: Vec<Instance> = (0..9).map(|n| instance(&format!("i-{n}"), 6, "a")).collect();
     let mut dispatch = dispatch(&instances);
     let first = server_of(&dispatch.submit(at(0), request(0, 9_000)));
-    dispatch.finish(at(100), first, WHOLE);
+    dispatch.finish(at(100), first, COMPLETED);
     for ticket in 1..6 {
         let now = 100 + ticket * 100;
         assert_eq!(server_of(&dispatch.submit(at(now), request(ticket, 9_000))), first);
-        dispatch.finish(at(now + 50), first, WHOLE);
+        dispatch.finish(at(now + 50), first, COMPLETED);
     }
     let busy = server_of(&dispatch.submit(at(800), request(7, 9_000)));
     assert_ne!(
         server_of(&dispatch.submit(at(800), request(8, 9_000))),
         busy,
-        "but not behind another request"
+        "an open connection does not outweigh a request"
     );
 }
 
-/// Sends one request each 100 ms to ten servers, of which some fail a share of theirs, and returns how many failed in
-/// each half of the time.
-fn failures(bad: usize, share: u64, outcome: RequestOutcome) -> [usize; 2] {
+/// Sends 400 requests to ten servers, of which `faulty` fail `percent` of theirs and the rest 2 %. Returns the failures
+/// in each half.
+fn count_failures(faulty: usize, percent: u64, outcome: RequestOutcome) -> [usize; 2] {
     let instances: Vec<Instance> = (0..10).map(|number| instance(&format!("s-{number}"), 6, "a")).collect();
     let mut dispatch = dispatch(&instances);
     let mut rng = Random::new(5);
@@ -262,61 +262,61 @@
         let now = at(number * 100);
         let key = server_of(&dispatch.submit(now, request(number, number * 100 + 4_000)));
         let id = &dispatch.instance(key).unwrap().id;
-        let ill = (0..bad).any(|number| **id == format!("s-{number}"));
-        // Every server spoils some answers.
-        let fails = rng.below(100) < if ill { share } else { 2 };
+        let is_faulty = (0..faulty).any(|number| **id == format!("s-{number}"));
+        let fails = rng.below(100) < if is_faulty { percent } else { 2 };
         failed[usize::from(number >= 200)] += usize::from(fails);
-        dispatch.finish(now, key, if fails { outcome } else { WHOLE });
+        dispatch.finish(now, key, if fails { outcome } else { COMPLETED });
     }
     failed
 }
 
 #[test]
-fn servers_that_fail_in_part_are_found_by_their_outcomes() {
+fn ejects_partially_failing_servers() {
     for outcome in [
         RequestOutcome::BadResponse,
         RequestOutcome::ServerError(Duration::from_millis(3)),
         RequestOutcome::Unresponsive,
     ] {
-        let [first, then] = failures(2, 40, outcome);
-        assert!(first <= 14 && then <= 8, "{outcome:?}: {first} and {then}; 19 each without a test");
+        let [first, second] = count_failures(2, 40, outcome);
+        assert!(first <= 14 && second <= 8, "{outcome:?}: {first} and {second} failures");
     }
 }
 
 #[test]
-fn two_failures_far_apart_are_chance_and_those_of_requests_on_their_way_count_once() {
+fn ejects_once_for_simultaneous_failures() {
     let mut dispatch = dispatch(&[instance("x", 6, "a"), instance("y", 6, "a"), instance("z", 6, "a")]);
-    let mut suspected = Vec::new();
+    let mut ejected = Vec::new();
     for number in 0..300_u64 {
         let now = at(number * 100);
         let key = server_of(&dispatch.submit(now, request(number, number * 100 + 4_000)));
-        let outcome = if number % 50 == 49 { RequestOutcome::BadResponse } else { WHOLE };
-        suspected.extend(dispatch.finish(now, key, outcome));
+        let outcome = if number % 50 == 49 { RequestOutcome::BadResponse } else { COMPLETED };
+        ejected.extend(dispatch.finish(now, key, outcome));
     }
-    assert!(suspected.is_empty(), "{suspected:?}");
+    assert!(ejected.is_empty(), "{ejected:?}");
     let now = at(40_000);
     let sent: Vec<ServerKey> =
         (0..18).map(|ticket| server_of(&dispatch.submit(now, request(1_000 + ticket, 60_000)))).collect();
-    let worst = sent[0];
-    for key in sent.into_iter().filter(|key| *key == worst) {
+    let failing = sent[0];
+    for key in sent.into_iter().filter(|key| *key == failing) {
         let decisions = dispatch.finish(now, key, RequestOutcome::Unresponsive);
-        suspected.extend(decisions.into_iter().filter(|decision| matches!(decision, Decision::Eject { .. })));
+        ejected.extend(decisions.into_iter().filter(|decision| matches!(decision, Decision::Eject { .. })));
     }
-    let Some(Decision::Eject { until, .. }) = suspected.first() else { panic!("it was not suspected") };
-    assert_eq!((suspected.len(), *until), (1, at(42_000)), "six failures of one moment are one alarm");
+    let Some(Decision::Eject { until, .. }) = ejected.first() else { panic!("not ejected") };
+    assert_eq!((ejected.len(), *until), (1, at(42_000)), "simultaneous failures cause one ejection");
 }
 
 #[test]
-fn a_fault_that_all_servers_share_leaves_most_in_use() {
-    let [first, then] = failures(10, 40, RequestOutcome::Unresponsive);
-    assert!(first + then > 100, "requests were sent all the time: {first} and {then}");
+fn common_fault_leaves_most_servers_in_use() {
+    let [first, second] = count_failures(10, 40, RequestOutcome::Unresponsive);
+    assert!(first + second > 100, "most servers must stay in use: {first} and {second} failures");
 }
 
-/// Sends five requests to two servers with one place each, which are full, under some rules.
-fn under(rules: Decisions) -> (Vec<u64>, Vec<Arc<str>>, usize) {
-    let mut dispatch = Dispatch::new("a".into(), 1).with_policy(rules);
+/// Sends five requests to two servers with one slot each, which are full. Returns the order in which they are sent, the
+/// servers that are used at once, and the number of rejections.
+fn outcomes_under(policy: Decisions) -> (Vec<u64>, Vec<Arc<str>>, usize) {
+    let mut dispatch = Dispatch::new("a".into(), 1).with_policy(policy);
     dispatch.replace_instances(at(0), &[instance("x", 1, "a"), instance("y", 1, "a")]);
-    let full = if rules == Decisions::Places { 0 } else { 2 };
+    let full = if policy == Decisions::Places { 0 } else { 2 };
     let mut decisions = Vec::new();
     for ticket in 10..10 + full {
         decisions.extend(dispatch.submit(at(0), request(ticket, 4_000)));
@@ -333,37 +333,47 @@
         })
         .collect();
     let names = servers.iter().map(|key| dispatch.instance(*key).unwrap().id.clone()).collect();
-    let turned_away = decisions.iter().filter(|decision| matches!(decision, Decision::Reject { .. })).count();
+    let rejected = decisions.iter().filter(|decision| matches!(decision, Decision::Reject { .. })).count();
     for server in servers {
-        decisions.extend(dispatch.finish(at(100), server, WHOLE));
+        decisions.extend(dispatch.finish(at(100), server, COMPLETED));
     }
     let order = sent(&decisions).into_iter().filter(|ticket| *ticket < 10).collect();
-    (order, names, turned_away)
+    (order, names, rejected)
 }
 
 #[test]
-fn each_baseline_replaces_one_decision() {
-    assert_eq!(under(Decisions::Own).0, [1, 2, 4, 3], "the urgent one goes first");
-    assert_eq!(under(Decisions::Own).2, 1, "the last would come too late");
-    assert_eq!(under(Decisions::FirstCome).0, [1, 2, 3, 4]);
-    assert_eq!(under(Decisions::NoRejection).2, 0);
-    assert_eq!(under(Decisions::Places).0, [1, 2, 4, 3], "nothing is sent beyond the places");
-    assert_eq!([under(Decisions::RoundRobin).1.len(), under(Decisions::Places).1.len()], [4, 2]);
-    let home = |rules: Decisions| {
+fn each_policy_replaces_one_rule() {
+    assert_eq!(outcomes_under(Decisions::Own).0, [1, 2, 4, 3], "the urgent request goes first");
+    assert_eq!(outcomes_under(Decisions::Own).2, 1, "the last request would be late");
+    assert_eq!(outcomes_under(Decisions::FirstCome).0, [1, 2, 3, 4]);
+    assert_eq!(outcomes_under(Decisions::NoRejection).2, 0);
+    assert_eq!(outcomes_under(Decisions::Places).0, [1, 2, 4, 3], "no request is sent beyond the slots");
+    assert_eq!(
+        [outcomes_under(Decisions::RoundRobin).1.len(), outcomes_under(Decisions::Places).1.len()],
+        [4, 2]
+    );
+    let distinct_servers = |policy: Decisions| {
         let instances: Vec<Instance> =
             (0..8).map(|number| instance(&format!("s-{number}"), 8, "a")).collect();
-        let mut dispatch = Dispatch::new("a".into(), 1).with_policy(rules);
+        let mut dispatch = Dispatch::new("a".into(), 1).with_policy(policy);
         dispatch.replace_instances(at(0), &instances);
         let keys = (0..6).map(|ticket| {
             server_of(&dispatch.submit(at(0), Request { affinity: Some(9), ..request(ticket, 4_000) }))
         });
         keys.collect::<std::collections::BTreeSet<ServerKey>>().len()
     };
-    assert_eq!([home(Decisions::Own), home(Decisions::LeastLoad), home(Decisions::RoundRobin)], [1, 6, 6]);
+    assert_eq!(
+        [
+            distinct_servers(Decisions::Own),
+            distinct_servers(Decisions::LeastLoad),
+            distinct_servers(Decisions::RoundRobin)
+        ],
+        [1, 6, 6]
+    );
 }
 
 #[test]
-fn a_server_that_rests_for_a_lost_connection_is_not_held_to_be_suspected() {
+fn backoff_is_not_an_ejection() {
     let mut dispatch = dispatch(&[instance("x", 6, "a"), instance("y", 6, "a")]);
     let sent = (0..12).map(|ticket| server_of(&dispatch.submit(at(0), request(ticket, 4_000))));
     let sent: Vec<ServerKey> = sent.collect();
@@ -372,88 +382,91 @@
         dispatch.finish(at(0), *key, RequestOutcome::Unresponsive);
     }
     let server = &dispatch.servers[first];
-    assert_eq!([server.is_out(at(1_000)), server.is_out(at(2_000))], [true, false]);
+    assert_eq!([server.is_ejected(at(1_000)), server.is_ejected(at(2_000))], [true, false]);
     dispatch.submit(at(3_000), request(20, 9_000));
     dispatch.finish(at(3_000), first, RequestOutcome::Unreachable);
     let server = &dispatch.servers[first];
-    assert!(!server.usable(at(3_100)) && !server.is_out(at(3_100)), "it rests for a moment's failure");
+    assert!(
+        !server.is_available(at(3_100)) && !server.is_ejected(at(3_100)),
+        "a lost connection causes a backoff only"
+    );
 }
 
 #[test]
-fn a_suspected_server_is_used_where_there_is_no_other() {
+fn uses_ejected_server_without_alternative() {
     let mut dispatch = dispatch(&[instance("x", 6, "a"), instance("y", 6, "a")]);
     let sent = (0..24).map(|ticket| server_of(&dispatch.submit(at(0), request(ticket, 4_000))));
     let sent: Vec<ServerKey> = sent.collect();
-    let suspected = sent[0];
-    let other = *sent.iter().find(|key| **key != suspected).unwrap();
-    for key in sent.iter().filter(|key| **key == suspected) {
+    let ejected = sent[0];
+    let other = *sent.iter().find(|key| **key != ejected).unwrap();
+    for key in sent.iter().filter(|key| **key == ejected) {
         dispatch.finish(at(0), *key, RequestOutcome::Unresponsive);
     }
     assert!(
         dispatch.submit(at(1), request(20, 4_000)).is_empty(),
-        "the other is full, and worth waiting for"
+        "waits for the other server, which is full"
     );
     dispatch.cancel(20);
-    let again = Request { excluded: vec![other], ..request(21, 4_000) };
-    assert_eq!(server_of(&dispatch.submit(at(1), again)), suspected, "the other has had it");
+    let retry = Request { excluded: vec![other], ..request(21, 4_000) };
+    assert_eq!(server_of(&dispatch.submit(at(1), retry)), ejected, "the other server is excluded");
     dispatch.finish(at(1), other, RequestOutcome::Unreachable);
-    assert_eq!(server_of(&dispatch.submit(at(2), request(22, 4_000))), suspected, "the other rests");
+    assert_eq!(server_of(&dispatch.submit(at(2), request(22, 4_000))), ejected, "the other server backs off");
 }
 
 #[test]
-fn a_request_is_turned_away_at_once_if_all_servers_rest_beyond_its_deadline() {
+fn rejects_if_backoff_exceeds_deadline() {
     let mut dispatch = dispatch(&[instance("x", 6, "a")]);
     for ticket in 0..4 {
         let key = server_of(&dispatch.submit(at(ticket * 1_000), request(ticket, 60_000)));
         dispatch.finish(at(ticket * 1_000), key, RequestOutcome::Unreachable);
         dispatch.tick(at(ticket * 1_000 + 999));
     }
-    // It rests for 2 s now.
+    // The backoff is 2 s now.
     let decisions = dispatch.submit(at(3_000), request(10, 4_500));
     let [Decision::Reject { retry_after, reason, .. }] = decisions[..] else { panic!("{decisions:?}") };
     assert_eq!(reason, RejectReason::TooLate);
-    assert!(retry_after >= Duration::from_millis(1_800), "{retry_after:?} is when a server may be back");
-    assert!(dispatch.submit(at(3_000), request(11, 9_000)).is_empty(), "this one has time to wait");
+    assert!(retry_after >= Duration::from_millis(1_800), "{retry_after:?} must not end before the backoff");
+    assert!(dispatch.submit(at(3_000), request(11, 9_000)).is_empty(), "this request can wait");
 }
 
-fn life(id: &str, born: u64) -> Instance {
+fn started_at(id: &str, born: u64) -> Instance {
     Instance { born: Some(born), ..instance(id, 6, "a") }
 }
 
 #[test]
-fn of_a_server_that_began_anew_under_its_id_nothing_is_believed() {
-    let mut dispatch = dispatch(&[life("x", 1_000)]);
+fn restarted_server_inherits_no_state() {
+    let mut dispatch = dispatch(&[started_at("x", 1_000)]);
     let first = server_of(&dispatch.submit(at(0), request(0, 9_000)));
-    let under_way = server_of(&dispatch.submit(at(0), request(1, 9_000)));
+    let in_flight = server_of(&dispatch.submit(at(0), request(1, 9_000)));
     dispatch.record_load(at(1), first, ServerLoad { running: 6, waiting: 4 });
-    dispatch.finish(at(1), first, WHOLE);
+    dispatch.finish(at(1), first, COMPLETED);
     dispatch.mark_leaving(first);
-    assert_eq!(dispatch.replace_instances(at(2), &[life("x", 1_000)]), [], "the same life");
-    let decisions = dispatch.replace_instances(at(3), &[life("x", 2_000)]);
+    assert_eq!(dispatch.replace_instances(at(2), &[started_at("x", 1_000)]), [], "the same instance");
+    let decisions = dispatch.replace_instances(at(3), &[started_at("x", 2_000)]);
     assert_eq!(decisions, [Decision::DropConnections { address: "10.0.0.1:80".parse().unwrap() }]);
     let second = server_of(&dispatch.submit(at(3), request(2, 9_000)));
-    assert_ne!(second, first, "it leaves no longer, and its old load is void");
+    assert_ne!(second, first, "the new instance is neither leaving nor loaded");
     let server = &dispatch.servers[second];
-    assert!(server.running == 1 && !server.is_warm(at(3)) && !server.is_out(at(3)));
+    assert!(server.in_flight == 1 && !server.has_warm_connection(at(3)) && !server.is_ejected(at(3)));
     assert_eq!(
-        dispatch.finish(at(4), under_way, RequestOutcome::BadResponse),
+        dispatch.finish(at(4), in_flight, RequestOutcome::BadResponse),
         [],
-        "what the earlier life does is its own"
+        "outcomes of the earlier instance don't affect the new one"
     );
-    assert_eq!(dispatch.servers[second].running, 1);
-    assert_eq!(dispatch.replace_instances(at(5), &[life("x", 2_000)]), [], "told once");
+    assert_eq!(dispatch.servers[second].in_flight, 1);
+    assert_eq!(dispatch.replace_instances(at(5), &[started_at("x", 2_000)]), [], "reported once");
     assert_eq!(
         dispatch.instances().count(),
         1,
-        "the earlier life is forgotten once nothing is in service there"
+        "the earlier instance is removed when nothing is in flight there"
     );
 }
 
 #[test]
-fn a_list_that_lags_brings_no_earlier_life_back() {
-    let mut dispatch = dispatch(&[life("x", 2_000)]);
+fn stale_list_does_not_restore_earlier_instance() {
+    let mut dispatch = dispatch(&[started_at("x", 2_000)]);
     let server = server_of(&dispatch.submit(at(0), request(0, 9_000)));
-    for older in [life("x", 1_000), Instance { born: None, ..life("x", 0) }] {
+    for older in [started_at("x", 1_000), Instance { born: None, ..started_at("x", 0) }] {
         assert_eq!(
             dispatch.replace_instances(at(1), &[Instance { leaving: older.born.is_some(), ..older }]),
             []
@@ -464,12 +477,12 @@
 }
 
 #[test]
-fn connections_to_a_server_that_is_not_listed_any_more_are_forgotten_once() {
-    let mut dispatch = dispatch(&[life("x", 1_000), life("y", 1_000)]);
-    let under_way = server_of(&dispatch.submit(at(0), request(0, 9_000)));
-    let gone = dispatch.instance(under_way).unwrap().clone();
-    let other = if &*gone.id == "x" { life("y", 1_000) } else { life("x", 1_000) };
-    let forget = [Decision::DropConnections { address: gone.address }];
-    assert_eq!(dispatch.replace_instances(at(1), std::slice::from_ref(&other)), forget);
+fn drops_connections_of_removed_server_once() {
+    let mut dispatch = dispatch(&[started_at("x", 1_000), started_at("y", 1_000)]);
+    let in_flight = server_of(&dispatch.submit(at(0), request(0, 9_000)));
+    let removed = dispatch.instance(in_flight).unwrap().clone();
+    let other = if &*removed.id == "x" { started_at("y", 1_000) } else { started_at("x", 1_000) };
+    let drop_connections = [Decision::DropConnections { address: removed.address }];
+    assert_eq!(dispatch.replace_instances(at(1), std::slice::from_ref(&other)), drop_connections);
     assert_eq!(dispatch.replace_instances(at(2), &[other]), []);
 }
--- /dev/null
+++ b/agatetrestle/src/dispatch/tests/simulation.rs
@@ -0,0 +1,246 @@
+//! Simulation, in virtual time, of nodes that dispatch to the servers of a service.
+
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::collections::HashMap;
+use std::collections::VecDeque;
+
+use super::*;
+
+/// One-way network latency between a node and a server.
+const NETWORK_LATENCY_US: u64 = 1_000;
+/// Interval at which a node with queued requests calls [`Dispatch::tick`].
+const TICK_INTERVAL_US: u64 = 20_000;
+
+/// A request rejected after this time counts as late: it allows for two servers that are full, and for a tick.
+const MAX_IMMEDIATE_US: u64 = TICK_INTERVAL_US + 8 * NETWORK_LATENCY_US;
+
+/// Parameters of a simulation; times are in microseconds.
+pub(super) struct Scenario {
+    pub(super) nodes: usize,
+    pub(super) servers: usize,
+    pub(super) slots: u32,
+    /// Requests that a server queues beyond its slots.
+    pub(super) queue_limit: usize,
+    /// Requests per second, from all nodes together.
+    pub(super) rate: u64,
+    pub(super) duration: u64,
+    /// Mean service time; drawn uniformly from 0 to twice that.
+    pub(super) service_time: u64,
+    /// Factor by which the first server is slower.
+    pub(super) slowdown: u64,
+    /// Time from the arrival of a request to its deadline.
+    pub(super) time_limit: u64,
+}
+
+/// Results of a simulation.
+#[derive(Debug, Default)]
+pub(super) struct Stats {
+    pub(super) completed: usize,
+    pub(super) rejected_at_once: usize,
+    /// Requests rejected more than [`MAX_IMMEDIATE_US`] after their arrival.
+    pub(super) rejected_late: usize,
+    /// Sorted times from arrival to sending, in microseconds.
+    pub(super) waits: Vec<u64>,
+    /// Sorted times from arrival to response, in microseconds.
+    pub(super) latencies: Vec<u64>,
+}
+
+impl Stats {
+    pub(super) fn percentile(sorted: &[u64], percent: usize) -> u64 {
+        sorted.get((sorted.len() * percent / 100).min(sorted.len().saturating_sub(1))).copied().unwrap_or(0)
+    }
+}
+
+#[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
+enum Event {
+    Arrive { node: usize },
+    Tick { node: usize },
+    Receive { node: usize, server: usize, ticket: u64 },
+    Complete { node: usize, server: usize, ticket: u64 },
+    Respond { node: usize, server: usize, ticket: u64, load: (u32, u32), full: bool },
+}
+
+#[derive(Default)]
+struct SimulatedServer {
+    running: u32,
+    queue: VecDeque<(usize, u64)>,
+}
+
+struct Simulation {
+    scenario: Scenario,
+    rng: Random,
+    events: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    sequence: u64,
+    nodes: Vec<Dispatch>,
+    keys: Vec<Vec<ServerKey>>,
+    servers: Vec<SimulatedServer>,
+    /// Times of arrival and of sending, by ticket.
+    times: HashMap<u64, (u64, u64)>,
+    stats: Stats,
+}
+
+pub(super) fn simulate(scenario: Scenario, policy: Decisions, seed: u64) -> Stats {
+    let instances: Vec<Instance> =
+        (0..scenario.servers).map(|number| instance(&format!("s-{number}"), scenario.slots, "a")).collect();
+    let mut simulation = Simulation {
+        rng: Random::new(seed),
+        events: BinaryHeap::new(),
+        sequence: 0,
+        nodes: Vec::new(),
+        keys: Vec::new(),
+        servers: (0..scenario.servers).map(|_| SimulatedServer::default()).collect(),
+        times: HashMap::new(),
+        stats: Stats::default(),
+        scenario,
+    };
+    for number in 0..simulation.scenario.nodes {
+        let mut node = Dispatch::new("a".into(), seed ^ number as u64).with_policy(policy);
+        node.replace_instances(Timestamp(0), &instances);
+        let by_id = |instance: &Instance| node.by_id[&instance.id];
+        simulation.keys.push(instances.iter().map(by_id).collect());
+        simulation.nodes.push(node);
+    }
+    simulation.run();
+    simulation.stats.waits.sort_unstable();
+    simulation.stats.latencies.sort_unstable();
+    simulation.stats
+}
+
+impl Simulation {
+    fn run(&mut self) {
+        let interval = 1_000_000 / self.scenario.rate;
+        for number in 0..self.scenario.duration / interval {
+            let node = usize::try_from(self.rng.below(self.scenario.nodes as u64)).unwrap();
+            let at = number * interval + self.random_below(interval);
+            self.schedule(at, Event::Arrive { node });
+        }
+        while let Some(Reverse((now, _, event))) = self.events.pop() {
+            self.step(now, event);
+        }
+    }
+
+    fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng.below(bound.max(1))
+    }
+
+    fn schedule(&mut self, time: u64, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((time, self.sequence, event)));
+    }
+
+    fn step(&mut self, now: u64, event: Event) {
+        match event {
+            Event::Arrive { node } => self.arrive(now, node),
+            Event::Tick { node } => {
+                let decisions = self.nodes[node].tick(Timestamp(now));
+                self.apply(now, node, decisions);
+                self.schedule_tick(now, node);
+            }
+            Event::Receive { node, server, ticket } => self.receive(now, node, server, ticket),
+            Event::Complete { node, server, ticket } => self.complete(now, node, server, ticket),
+            Event::Respond { node, server, ticket, load, full } => {
+                self.respond(now, node, server, ticket, load, full);
+            }
+        }
+    }
+
+    fn arrive(&mut self, now: u64, node: usize) {
+        let ticket = self.sequence;
+        self.sequence += 1;
+        self.times.insert(ticket, (now, now));
+        let deadline = Timestamp(now + self.scenario.time_limit);
+        let request = Request { started: true, deadline, finish_by: deadline, ..request(ticket, 0) };
+        let decisions = self.nodes[node].submit(Timestamp(now), request);
+        self.apply(now, node, decisions);
+        self.schedule_tick(now, node);
+    }
+
+    fn schedule_tick(&mut self, now: u64, node: usize) {
+        if self.nodes[node].waiting() > 0 {
+            self.schedule(now + TICK_INTERVAL_US, Event::Tick { node });
+        }
+    }
+
+    fn apply(&mut self, now: u64, node: usize, decisions: Vec<Decision>) {
+        for decision in decisions {
+            match decision {
+                Decision::Send { ticket, server } => {
+                    let server = self.keys[node].iter().position(|key| *key == server).unwrap();
+                    let (arrived, sent) = self.times.get_mut(&ticket).unwrap();
+                    *sent = now;
+                    self.stats.waits.push(now - *arrived);
+                    self.schedule(now + NETWORK_LATENCY_US, Event::Receive { node, server, ticket });
+                }
+                Decision::Reject { ticket, .. } => {
+                    let (arrived, _) = self.times.remove(&ticket).unwrap();
+                    let stats = &mut self.stats;
+                    *(if now - arrived <= MAX_IMMEDIATE_US {
+                        &mut stats.rejected_at_once
+                    } else {
+                        &mut stats.rejected_late
+                    }) += 1;
+                }
+                Decision::DropConnections { .. } | Decision::Eject { .. } => {}
+            }
+        }
+    }
+
+    fn receive(&mut self, now: u64, node: usize, server: usize, ticket: u64) {
+        let state = &mut self.servers[server];
+        if state.running < self.scenario.slots {
+            state.running += 1;
+            self.start(now, node, server, ticket);
+        } else if state.queue.len() < self.scenario.queue_limit {
+            state.queue.push_back((node, ticket));
+        } else {
+            let load = (state.running, u32::try_from(state.queue.len()).unwrap());
+            self.schedule(
+                now + NETWORK_LATENCY_US,
+                Event::Respond { node, server, ticket, load, full: true },
+            );
+        }
+    }
+
+    fn start(&mut self, now: u64, node: usize, server: usize, ticket: u64) {
+        let slowdown = if server == 0 { self.scenario.slowdown } else { 1 };
+        let service_time = self.random_below(2 * self.scenario.service_time) * slowdown;
+        self.schedule(now + service_time, Event::Complete { node, server, ticket });
+    }
+
+    fn complete(&mut self, now: u64, node: usize, server: usize, ticket: u64) {
+        let state = &mut self.servers[server];
+        state.running -= 1;
+        let next = state.queue.pop_front();
+        state.running += u32::from(next.is_some());
+        let load = (state.running, u32::try_from(state.queue.len()).unwrap());
+        self.schedule(now + NETWORK_LATENCY_US, Event::Respond { node, server, ticket, load, full: false });
+        if let Some((node, ticket)) = next {
+            self.start(now, node, server, ticket);
+        }
+    }
+
+    fn respond(&mut self, now: u64, node: usize, server: usize, ticket: u64, load: (u32, u32), full: bool) {
+        let key = self.keys[node][server];
+        let (running, waiting) = load;
+        self.nodes[node].record_load(Timestamp(now), key, ServerLoad { running, waiting });
+        let (arrived, sent) = self.times[&ticket];
+        let outcome = if full {
+            RequestOutcome::Full
+        } else {
+            RequestOutcome::Completed(Duration::from_micros(now - sent))
+        };
+        let mut decisions = self.nodes[node].finish(Timestamp(now), key, outcome);
+        if full {
+            let deadline = Timestamp(arrived + self.scenario.time_limit);
+            let retry = Request { started: true, deadline, finish_by: deadline, ..request(ticket, 0) };
+            decisions.extend(self.nodes[node].submit(Timestamp(now), retry));
+        } else {
+            self.times.remove(&ticket);
+            self.stats.completed += 1;
+            self.stats.latencies.push(now - arrived);
+        }
+        self.apply(now, node, decisions);
+        self.schedule_tick(now, node);
+    }
+}
--- a/agatetrestle/src/routing/tests.rs
+++ b/agatetrestle/src/routing/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_takes_a_request() {
+fn matches_longest_prefix_of_host() {
     let routes = vec![route("short", "/a/", &[("one", 1)]), route("long", "/a/b/", &[("two", 1)])];
     let table = table(routes).unwrap();
     let found = |host: &str, path: &str| table.find(host, path).map(|route| route.name.to_string());
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn weights_share_the_requests_out() {
+fn splits_requests_by_weight() {
     let split = route("split", "/a/", &[("one", 9), ("two", 1)]);
     let to_two = (0..1_000).filter(|draw| &**split.pick_service(*draw) == "two").count();
     assert_eq!(to_two, 100);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn each_unusable_table_is_refused_with_its_reason() {
+fn rejects_invalid_tables_with_reason() {
     let unknown = table(vec![route("r", "/a/", &[("three", 1)])]).unwrap_err();
     assert_eq!(unknown.to_string(), "route r names the unknown service three");
     let same = table(vec![route("r", "/a/", &[("one", 1)]), route("s", "/a/", &[("two", 1)])]).unwrap_err();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_key_opens_what_is_not_public_for_its_team() {
+fn key_authorizes_its_team() {
     let closed = || route("closed", "/a/", &[("one", 1)]);
     let open = Route { public: true, ..route("open", "/b/", &[("one", 1)]) };
     let anybody = table(vec![closed()]).unwrap();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn teams_that_share_a_key_are_refused_and_no_text_shows_a_key() {
+fn rejects_duplicate_keys_and_redacts_them() {
     let shared = vec![team("red", &["secret"]), team("blue", &["other", "secret"])];
     let refused = table(Vec::new()).unwrap().with_teams(shared).unwrap_err();
     assert_eq!(refused.to_string(), "teams red and blue share a key");
