--- a/agatetrestle/src/dispatch/tests/stale_load.rs
+++ b/agatetrestle/src/dispatch/tests/stale_load.rs
@@ -61,7 +61,8 @@
     /// However stale the load reports are, no request is rejected or waits long while half of the slots are free.
     #[test]
     fn waits_are_short_with_free_slots(
-        nodes in 1..80_usize, servers in 2..12_usize, slots in 2..16_u32, service_time in 4_000..16_000_u64, seed in any::<u64>(),
+        nodes in 1..80_usize, servers in 2..12_usize, slots in 2..16_u32,
+        service_time in 4_000..16_000_u64, seed in any::<u64>(),
     ) {
         let rate = (servers as u64 * u64::from(slots) * 1_000_000 / service_time / 2).clamp(20, 6_000);
         let scenario = Scenario { nodes, servers, slots, service_time, rate, duration: 500_000, ..many_nodes() };
--- a/agatetrestle/src/routing/check.rs
+++ b/agatetrestle/src/routing/check.rs
@@ -1,4 +1,4 @@
-//! What a table of routes must hold as a whole.
+//! Validation of route tables.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,66 +6,66 @@
 use snafu::Snafu;
 use snafu::ensure;
 
-use crate::routing::ByHost;
 use crate::routing::Route;
+use crate::routing::RouteIndex;
 use crate::routing::Service;
 
-/// Why a table of routes is refused; none of it comes into force.
+/// Why a route table is rejected as a whole.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum InvalidTable {
-    /// The text is no table.
-    #[snafu(display("the table can't be read: {reason}"))]
+    /// The text could not be parsed.
+    #[snafu(display("malformed route table: {reason}"))]
     Malformed {
         /// What was expected, and where.
         reason: Arc<str>,
     },
-    /// A route sends requests to a service that the table does not declare.
-    #[snafu(display("route {route} names the unknown service {service}"))]
+    /// A route has a target that is not declared.
+    #[snafu(display("route {route} refers to undeclared service {service}"))]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: Arc<str>,
-        /// The service.
+        /// Name of the undeclared service.
         service: Arc<str>,
     },
-    /// Two routes would take the same requests.
-    #[snafu(display("route {route} has the host and prefix of an earlier one"))]
+    /// Two routes match the same requests.
+    #[snafu(display("route {route} has the same host and prefix as an earlier route"))]
     DuplicateRoute {
-        /// The later route.
+        /// Name of the later route.
         route: Arc<str>,
     },
-    /// No target of a route gets any request.
-    #[snafu(display("the weights of route {route} add up to 0"))]
-    ZeroWeight {
-        /// The route.
+    /// The weights of a route's targets can't be used for a draw.
+    #[snafu(display("the weights of route {route} must add up to a value from 1 to {}", u64::MAX))]
+    InvalidWeights {
+        /// Name of the route.
         route: Arc<str>,
     },
-    /// A key would stand for two teams.
-    #[snafu(display("teams {other} and {team} share a key"))]
+    /// A key would identify two teams.
+    #[snafu(display("teams {other} and {team} share an API key"))]
     SharedKey {
-        /// The later team.
+        /// Name of the later team.
         team: Arc<str>,
-        /// The earlier one.
+        /// Name of the earlier team.
         other: Arc<str>,
     },
-    /// A route would give up before it began.
-    #[snafu(display("route {route} has no time"))]
+    /// The requests of a route would time out at once.
+    #[snafu(display("route {route} has a timeout of 0"))]
     ZeroTimeout {
-        /// The route.
+        /// Name of the route.
         route: Arc<str>,
     },
 }
 
-/// Checks the routes and indexes them by host and prefix.
+/// Validates the routes and indexes them by host and prefix.
 pub(super) fn index(
     routes: &[Route],
     services: &BTreeMap<Arc<str>, Service>,
-) -> Result<ByHost, InvalidTable> {
-    let mut by_host = ByHost::new();
-    for (at, route) in routes.iter().enumerate() {
+) -> Result<RouteIndex, InvalidTable> {
+    let mut by_host = RouteIndex::new();
+    for (position, route) in routes.iter().enumerate() {
         check_route(route, services)?;
-        let taken = by_host.entry(route.host.clone()).or_default().insert(route.prefix.clone(), at);
-        ensure!(taken.is_none(), DuplicateRouteSnafu { route: route.name.clone() });
+        let earlier = by_host.entry(route.host.clone()).or_default().insert(route.prefix.clone(), position);
+        ensure!(earlier.is_none(), DuplicateRouteSnafu { route: route.name.clone() });
     }
     Ok(by_host)
 }
@@ -76,8 +76,8 @@
         let (route, service) = (route.name.clone(), target.service.clone());
         ensure!(known, UnknownServiceSnafu { route, service });
     }
-    let weight: u128 = route.targets.iter().map(|target| u128::from(target.weight)).sum();
-    ensure!(weight > 0 && u64::try_from(weight).is_ok(), ZeroWeightSnafu { route: route.name.clone() });
+    let total: u128 = route.targets.iter().map(|target| u128::from(target.weight)).sum();
+    ensure!(total > 0 && u64::try_from(total).is_ok(), InvalidWeightsSnafu { route: route.name.clone() });
     ensure!(!route.timeout.is_zero(), ZeroTimeoutSnafu { route: route.name.clone() });
     Ok(())
 }
--- a/agatetrestle/src/routing/mod.rs
+++ b/agatetrestle/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! Which backend servers a caller's request may go to: the table of routes that operators declare.
+//! The route table that operators declare, which maps requests to services.
 //!
-//! A table is checked as a whole before the control group accepts it, so that a node never has to judge one;
-//! see docs/design/012-a-deployment-of-three-roles.md.
+//! The control group validates a table before it accepts it, so nodes only receive valid ones; see
+//! docs/design/012-a-deployment-of-three-roles.md.
 
 mod check;
 mod teams;
@@ -19,110 +19,110 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What may be repeated on a route.
+/// Whether and how the requests of a route may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
     /// A request may run more than once.
     Idempotent,
     /// A request runs at most once.
     NonIdempotent,
-    /// The answer is a stream of events.
+    /// The response is a stream of events.
     Streaming {
-        /// Whether another run may go on after the last event that the caller has; if not, a request runs at
+        /// Whether another run may resume after the last event that the caller received. If not, a request runs at
         /// most once.
         resumable: bool,
     },
 }
 
-/// A share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RouteTarget {
-    /// The service that gets them.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its share in relation to the other targets.
+    /// Share relative to the weights of the other targets.
     pub weight: u64,
 }
 
-/// One route.
+/// A declared route.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
     /// Declared name, for logs.
     pub name: Arc<str>,
-    /// Host that callers name, in lower case.
+    /// Host to match, in lower case.
     pub host: Arc<str>,
-    /// Start of the path, with a slash at both ends.
+    /// Path prefix to match, which starts and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting for the whole answer.
+    /// Limit on the time until the response is complete.
     pub timeout: Duration,
-    /// Time within which an answer has its full worth; for a stream, its first event.
+    /// Target latency of the response, or of its first event if it is a stream.
     pub objective: Duration,
-    /// Rank, 0 for the most urgent.
+    /// 0 is the most urgent.
     pub priority: u8,
-    /// Where requests go.
+    /// Services that requests are distributed to.
     pub targets: Vec<RouteTarget>,
-    /// Most backend servers that one request may run on.
+    /// Maximum number of backend servers that one request may run on.
     pub max_attempts: u32,
-    /// How long a turn that ended can be gone on from; none where the route keeps no turns.
+    /// How long a completed turn is kept for later turns to continue from, if the route keeps turns.
     pub retention: Option<Duration>,
-    /// Whether requests share prompts, so that it matters which replica gets which.
+    /// Whether requests that share a prompt prefer the same replica.
     pub sticky: bool,
-    /// Whether requests need no key, where teams are declared.
+    /// Whether requests need no API key even if teams are declared.
     pub public: bool,
 }
 
-/// What is declared of a service.
+/// A declared service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name that routes refer to.
     pub name: Arc<str>,
-    /// Connections that one of its backend servers takes from all nodes together.
+    /// Connections that one of its backend servers accepts from all nodes together.
     pub max_connections: u32,
-    /// Tokens in each event, for a service of model engines.
+    /// Tokens per event, if its backend servers are model engines.
     pub tokens_per_event: Option<u64>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
-    /// Largest request head in bytes.
+    /// Maximum size of a request header.
     pub max_header_bytes: usize,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Time for the head to arrive.
+    /// Limit on the time to receive a request header.
     pub header_timeout: Duration,
-    /// Time for which a connection may stay idle.
+    /// Limit on the time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// Places of routes by host and prefix.
-type ByHost = HashMap<Arc<str>, HashMap<Arc<str>, usize>>;
+/// Indices of routes by host and prefix.
+type RouteIndex = HashMap<Arc<str>, HashMap<Arc<str>, usize>>;
 
-/// Everything that operators declare of routes, at one version.
+/// One version of the declared routes, services and teams.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
-    /// The operators' number of the table; a higher one replaces a lower one.
+    /// Declared version; a table replaces those with lower versions.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
     routes: Vec<Arc<Route>>,
     services: BTreeMap<Arc<str>, Service>,
-    by_host: ByHost,
-    /// None where anybody may send requests.
+    by_host: RouteIndex,
+    /// None if requests need no API key.
     teams: Option<Teams>,
 }
 
-/// A request carries no key of a team, and its route is not public.
+/// The route is not public and the request has no API key of a team.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Unauthorized;
 
 impl RouteTable {
-    /// Checks the parts of a table and puts them together.
+    /// Validates and indexes a table without teams.
     ///
     /// # Errors
     ///
-    /// Says what makes the table unusable, with the route that it is about.
+    /// Fails if a route is invalid or duplicated.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -135,7 +135,7 @@
         Ok(Self { version, limits, routes, services, by_host, teams: None })
     }
 
-    /// The same table for the callers of some teams alone.
+    /// Restricts the routes that are not public to the given teams.
     ///
     /// # Errors
     ///
@@ -144,38 +144,38 @@
         Ok(Self { teams: Some(Teams::new(teams)?), ..self })
     }
 
-    /// The team that a request on a route belongs to; none where no teams are declared, or on a public route without a key
-    /// of one.
+    /// Authorizes a request and returns its team. There is none if no teams are declared, or on a public route without an
+    /// API key of a team.
     ///
     /// # Errors
     ///
-    /// Fails if the request must not run for want of a key.
+    /// Fails if the route requires an API key and the request has none of a team.
     pub fn authorize(&self, route: &Route, key: Option<&ApiKey>) -> Result<Option<&Arc<Team>>, Unauthorized> {
         let Some(teams) = &self.teams else {
             return Ok(None);
         };
-        let holder = key.and_then(|key| teams.holder(key));
-        if holder.is_none() && !route.public { Err(Unauthorized) } else { Ok(holder) }
+        let team = key.and_then(|key| teams.find(key));
+        if team.is_none() && !route.public { Err(Unauthorized) } else { Ok(team) }
     }
 
-    /// The teams in declared order; empty where none are declared.
+    /// The teams in declared order, empty if none are declared.
     #[must_use]
     pub fn teams(&self) -> &[Arc<Team>] {
         self.teams.as_ref().map_or(&[], Teams::all)
     }
 
-    /// The route of a request: among those of its host the one with the longest prefix of its path.
+    /// The route of the request's host with the longest matching prefix.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = self.by_host.get(name.to_ascii_lowercase().as_str())?;
-        // Every prefix ends with a slash, so only those ends are worth a look.
-        let ends = path.rmatch_indices('/').map(|(at, _)| &path[..=at]);
-        let index = ends.into_iter().find_map(|prefix| prefixes.get(prefix))?;
+        // Every prefix ends with a slash, so only substrings up to a slash can match.
+        let candidates = path.rmatch_indices('/').map(|(end, _)| &path[..=end]);
+        let index = candidates.into_iter().find_map(|prefix| prefixes.get(prefix))?;
         Some(&self.routes[*index])
     }
 
-    /// What is declared of a service.
+    /// The declaration of a service.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
@@ -189,27 +189,27 @@
 }
 
 impl Route {
-    /// The service that a request goes to, by a number drawn evenly from all `u64`.
+    /// The service for a request, by weight. `draw` is uniformly distributed over `u64`.
     #[must_use]
     pub fn pick_service(&self, draw: u64) -> &Arc<str> {
         let total: u64 = self.targets.iter().map(|target| target.weight).sum();
-        let mut place = draw % total.max(1);
+        let mut offset = draw % total.max(1);
         for target in &self.targets {
-            if place < target.weight {
+            if offset < target.weight {
                 return &target.service;
             }
-            place -= target.weight;
+            offset -= target.weight;
         }
         &self.targets[0].service
     }
 
-    /// Whether a request that may have run must not be sent again.
+    /// Whether a request that may already have run must not be sent again.
     #[must_use]
     pub fn is_at_most_once(&self) -> bool {
         !matches!(self.kind, RouteKind::Idempotent | RouteKind::Streaming { resumable: true })
     }
 
-    /// Whether answers are streams of events.
+    /// Whether responses are streams of events.
     #[must_use]
     pub fn is_streaming(&self) -> bool {
         matches!(self.kind, RouteKind::Streaming { .. })
--- a/agatetrestle/src/routing/teams.rs
+++ b/agatetrestle/src/routing/teams.rs
@@ -1,6 +1,6 @@
-//! The teams that may send requests, by the keys that their callers carry.
+//! The teams that may send requests, identified by the API keys of their callers.
 //!
-//! A key is a secret of a team: no log, metric, error or overview shows one; docs/PROMISES.md.
+//! Keys are secret: no log, metric, error or overview may show one; see docs/PROMISES.md.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -11,7 +11,7 @@
 use crate::routing::InvalidTable;
 use crate::routing::check::SharedKeySnafu;
 
-/// A caller's key. It can be compared, never read back.
+/// An API key, which can be compared but not read back.
 #[derive(Clone, Eq, Hash, PartialEq)]
 pub struct ApiKey(Arc<str>);
 
@@ -23,33 +23,33 @@
 
 impl fmt::Debug for ApiKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Key")
+        f.write_str("ApiKey")
     }
 }
 
-/// How many requests a team may send, over all entries together.
+/// Limit on the request rate of a team, over all entry nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second, without end.
+    /// Sustained requests per second.
     pub per_second: f64,
-    /// Requests on top of that, once.
+    /// Requests that may exceed the sustained rate in a burst.
     pub burst: f64,
 }
 
-/// One team.
+/// A declared team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Declared name; backend servers are told it.
+    /// Declared name, which backend servers receive.
     pub name: Arc<str>,
-    /// Each of them opens the routes that are not public.
+    /// API keys, each of which gives access to all routes that are not public.
     pub keys: Vec<ApiKey>,
-    /// Rank among teams, 0 for the most urgent; it goes before the rank of a route.
+    /// Priority among teams, 0 for the most urgent; takes precedence over the priority of the route.
     pub priority: u8,
-    /// None where it may send without a limit.
+    /// Limit on its requests, if any.
     pub rate_limit: Option<RateLimit>,
 }
 
-/// The teams of one table.
+/// The teams of one route table.
 #[derive(Clone, Debug, Default)]
 pub struct Teams {
     all: Vec<Arc<Team>>,
@@ -57,17 +57,19 @@
 }
 
 impl Teams {
-    /// Puts teams together.
+    /// Indexes teams by key.
     ///
     /// # Errors
     ///
     /// Fails if two teams share a key.
     pub(super) fn new(teams: Vec<Team>) -> Result<Self, InvalidTable> {
         let mut by_key = HashMap::new();
-        for (at, team) in teams.iter().enumerate() {
+        for (index, team) in teams.iter().enumerate() {
             for key in &team.keys {
-                let before = by_key.insert(key.clone(), at);
-                let other = before.filter(|before| *before != at).map(|before| teams[before].name.clone());
+                let previous = by_key.insert(key.clone(), index);
+                let other = previous
+                    .filter(|previous| *previous != index)
+                    .map(|previous| teams[previous].name.clone());
                 ensure!(
                     other.is_none(),
                     SharedKeySnafu { team: team.name.clone(), other: other.unwrap_or_default() }
@@ -77,10 +79,10 @@
         Ok(Self { all: teams.into_iter().map(Arc::new).collect(), by_key })
     }
 
-    /// The team that holds a key.
+    /// The team with an API key.
     #[must_use]
-    pub fn holder(&self, key: &ApiKey) -> Option<&Arc<Team>> {
-        self.by_key.get(key).map(|at| &self.all[*at])
+    pub fn find(&self, key: &ApiKey) -> Option<&Arc<Team>> {
+        self.by_key.get(key).map(|index| &self.all[*index])
     }
 
     /// All teams in declared order.
--- a/agatetrestle/src/routing/tests.rs
+++ b/agatetrestle/src/routing/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the table of routes.
+//! Tests of route tables.
 
 use super::*;
 
@@ -44,7 +44,7 @@
     let found = |host: &str, path: &str| table.find(host, path).map(|route| route.name.to_string());
     assert_eq!(found("app.example", "/a/b/c"), Some("long".into()));
     assert_eq!(found("App.Example:80", "/a/bc"), Some("short".into()));
-    assert_eq!(found("app.example", "/a"), None, "a prefix ends with a slash");
+    assert_eq!(found("app.example", "/a"), None, "the slash at the end of a prefix is required");
     assert_eq!(found("other.example", "/a/b/c"), None);
 }
 
@@ -53,21 +53,28 @@
     let split = route("split", "/a/", &[("one", 9), ("two", 1)]);
     let to_two = (0..1_000).filter(|draw| &**split.pick_service(*draw) == "two").count();
     assert_eq!(to_two, 100);
-    let closed = route("closed", "/a/", &[("one", 0), ("two", 3)]);
-    assert!((0..10).all(|draw| &**closed.pick_service(draw) == "two"), "a weight of 0 gets nothing");
+    let drained = route("drained", "/a/", &[("one", 0), ("two", 3)]);
+    assert!(
+        (0..10).all(|draw| &**drained.pick_service(draw) == "two"),
+        "a target with weight 0 receives no requests"
+    );
 }
 
 #[test]
 fn rejects_invalid_tables_with_reason() {
     let unknown = table(vec![route("r", "/a/", &[("three", 1)])]).unwrap_err();
-    assert_eq!(unknown.to_string(), "route r names the unknown service three");
-    let same = table(vec![route("r", "/a/", &[("one", 1)]), route("s", "/a/", &[("two", 1)])]).unwrap_err();
-    assert_eq!(same.to_string(), "route s has the host and prefix of an earlier one");
-    let weightless = table(vec![route("r", "/a/", &[("one", 0), ("two", 0)])]).unwrap_err();
-    assert_eq!(weightless.to_string(), "the weights of route r add up to 0");
-    let mut hasty = route("r", "/a/", &[("one", 1)]);
-    hasty.timeout = Duration::ZERO;
-    assert_eq!(table(vec![hasty]).unwrap_err().to_string(), "route r has no time");
+    assert_eq!(unknown.to_string(), "route r refers to undeclared service three");
+    let duplicate =
+        table(vec![route("r", "/a/", &[("one", 1)]), route("s", "/a/", &[("two", 1)])]).unwrap_err();
+    assert_eq!(duplicate.to_string(), "route s has the same host and prefix as an earlier route");
+    let zero_weight = table(vec![route("r", "/a/", &[("one", 0), ("two", 0)])]).unwrap_err();
+    assert_eq!(
+        zero_weight.to_string(),
+        "the weights of route r must add up to a value from 1 to 18446744073709551615"
+    );
+    let mut zero_timeout = route("r", "/a/", &[("one", 1)]);
+    zero_timeout.timeout = Duration::ZERO;
+    assert_eq!(table(vec![zero_timeout]).unwrap_err().to_string(), "route r has a timeout of 0");
 }
 
 fn team(name: &str, keys: &[&str]) -> Team {
@@ -82,32 +89,36 @@
 
 #[test]
 fn key_authorizes_its_team() {
-    let closed = || route("closed", "/a/", &[("one", 1)]);
-    let open = Route { public: true, ..route("open", "/b/", &[("one", 1)]) };
-    let anybody = table(vec![closed()]).unwrap();
-    assert_eq!(anybody.authorize(&closed(), None), Ok(None), "without teams anybody may send");
-    let nobody = table(vec![closed()]).unwrap().with_teams(Vec::new()).unwrap();
-    assert_eq!(nobody.authorize(&closed(), Some(&"k".into())), Err(Unauthorized));
+    let restricted = || route("restricted", "/a/", &[("one", 1)]);
+    let public = Route { public: true, ..route("public", "/b/", &[("one", 1)]) };
+    let without_teams = table(vec![restricted()]).unwrap();
+    assert_eq!(
+        without_teams.authorize(&restricted(), None),
+        Ok(None),
+        "no key is needed if no teams are declared"
+    );
+    let empty_teams = table(vec![restricted()]).unwrap().with_teams(Vec::new()).unwrap();
+    assert_eq!(empty_teams.authorize(&restricted(), Some(&"k".into())), Err(Unauthorized));
     let teams = vec![team("red", &["k-1", "k-2", "k-1"]), team("blue", &["k-3"])];
-    let table = table(vec![closed(), open.clone()]).unwrap().with_teams(teams).unwrap();
-    let holder = |route: &Route, key: Option<&str>| {
+    let table = table(vec![restricted(), public.clone()]).unwrap().with_teams(teams).unwrap();
+    let authorized = |route: &Route, key: Option<&str>| {
         let found = table.authorize(route, key.map(ApiKey::from).as_ref());
         found.map(|team| team.map(|team| team.name.to_string()))
     };
-    assert_eq!(holder(&closed(), Some("k-2")), Ok(Some("red".into())));
-    assert_eq!(holder(&closed(), Some("k-3")), Ok(Some("blue".into())));
+    assert_eq!(authorized(&restricted(), Some("k-2")), Ok(Some("red".into())));
+    assert_eq!(authorized(&restricted(), Some("k-3")), Ok(Some("blue".into())));
     for key in [None, Some("k"), Some(""), Some("K-1")] {
-        assert_eq!(holder(&closed(), key), Err(Unauthorized), "{key:?}");
-        assert_eq!(holder(&open, key), Ok(None), "{key:?}");
+        assert_eq!(authorized(&restricted(), key), Err(Unauthorized), "{key:?}");
+        assert_eq!(authorized(&public, key), Ok(None), "{key:?}");
     }
-    assert_eq!(holder(&open, Some("k-1")), Ok(Some("red".into())));
+    assert_eq!(authorized(&public, Some("k-1")), Ok(Some("red".into())));
 }
 
 #[test]
 fn rejects_duplicate_keys_and_redacts_them() {
     let shared = vec![team("red", &["secret"]), team("blue", &["other", "secret"])];
-    let refused = table(Vec::new()).unwrap().with_teams(shared).unwrap_err();
-    assert_eq!(refused.to_string(), "teams red and blue share a key");
+    let error = table(Vec::new()).unwrap().with_teams(shared).unwrap_err();
+    assert_eq!(error.to_string(), "teams red and blue share an API key");
     let table = table(Vec::new()).unwrap().with_teams(vec![team("red", &["secret"])]).unwrap();
-    assert!(!format!("{refused:?} {table:?} {:?}", table.teams()).contains("secret"));
+    assert!(!format!("{error:?} {table:?} {:?}", table.teams()).contains("secret"));
 }
