--- a/agatetrestle/src/health/average.rs
+++ b/agatetrestle/src/health/average.rs
@@ -1,8 +1,8 @@
-//! An exponentially weighted moving average of failures, the other baseline.
+//! Detection by an exponentially weighted moving average of failures, a baseline for comparisons.
 
 use crate::health::OutlierDetector;
 
-/// Ejects while the average failure rate is above a limit.
+/// Ejects while the average failure rate is at least `limit`.
 #[derive(Clone, Copy, Debug)]
 pub struct MovingAverage {
     weight: f64,
@@ -11,7 +11,7 @@
 }
 
 impl MovingAverage {
-    /// Takes the weight of one outcome and the limit of the rate.
+    /// Creates a detector; `weight` is the weight of one outcome in the average.
     #[must_use]
     pub fn new(weight: f64, limit: f64) -> Self {
         Self { weight, limit, rate: 0.0 }
@@ -19,7 +19,7 @@
 }
 
 impl OutlierDetector for MovingAverage {
-    fn record(&mut self, failed: bool, _risk: f64) {
+    fn record(&mut self, failed: bool, _expected_rate: f64) {
         let outcome = if failed { 1.0 } else { 0.0 };
         self.rate += self.weight * (outcome - self.rate);
     }
--- a/agatetrestle/src/health/consecutive.rs
+++ b/agatetrestle/src/health/consecutive.rs
@@ -1,8 +1,8 @@
-//! A number of failures in a row, the usual baseline.
+//! Detection by consecutive failures, a baseline for comparisons.
 
 use crate::health::OutlierDetector;
 
-/// Ejects after so many failures in a row.
+/// Ejects after `limit` failures in a row.
 #[derive(Clone, Copy, Debug)]
 pub struct ConsecutiveFailures {
     limit: u32,
@@ -10,7 +10,7 @@
 }
 
 impl ConsecutiveFailures {
-    /// Takes the number of failures.
+    /// Creates a detector that has seen no failure.
     #[must_use]
     pub fn new(limit: u32) -> Self {
         Self { limit, failures: 0 }
@@ -18,7 +18,7 @@
 }
 
 impl OutlierDetector for ConsecutiveFailures {
-    fn record(&mut self, failed: bool, _risk: f64) {
+    fn record(&mut self, failed: bool, _expected_rate: f64) {
         self.failures = if failed { self.failures + 1 } else { 0 };
     }
 
--- a/agatetrestle/src/health/mod.rs
+++ b/agatetrestle/src/health/mod.rs
@@ -1,4 +1,4 @@
-//! Health: which backend servers fail more calls than they should; see docs/design/008-health.md.
+//! Detection of backend servers that fail more requests than expected; see docs/design/008-health.md.
 
 pub mod average;
 pub mod consecutive;
@@ -7,28 +7,26 @@
 
 use std::fmt;
 
-/// Servers of a pool, in a hundred, that may be out at once for what speaks against them.
-const MOST_OUT_PERCENT: usize = 30;
+const MAX_EJECTED_PERCENT: usize = 30;
 
-/// How many of so many servers may be out at once: a fault that all share is not mended by sending everything to the
-/// few that are left. One may always go, but for the last.
+/// Maximum number of servers that may be ejected at once, out of `servers`. A fault common to all of them would
+/// otherwise move the whole load to a few. At least one may be ejected, but never the last.
 #[must_use]
 pub fn max_ejected(servers: usize) -> usize {
-    (servers * MOST_OUT_PERCENT / 100).max(1).min(servers.saturating_sub(1))
+    (servers * MAX_EJECTED_PERCENT / 100).max(1).min(servers.saturating_sub(1))
 }
 
-/// Watches the outcomes of one backend server.
+/// Decides from the outcomes of one backend server whether to eject it.
 pub trait OutlierDetector: fmt::Debug {
-    /// Takes in an outcome; `risk` is the probability with which such a call fails on a healthy
-    /// backend server.
-    fn record(&mut self, failed: bool, risk: f64);
+    /// Records an outcome; `expected_rate` is the probability that a healthy backend server fails such a call.
+    fn record(&mut self, failed: bool, expected_rate: f64);
 
-    /// Whether the backend server is to be ejected.
+    /// Whether the evidence suffices to eject the backend server.
     fn should_eject(&self) -> bool;
 
-    /// Whether nothing speaks against the backend server, so that its outcomes may be learned from.
+    /// Whether there is little evidence against the backend server, so that its outcomes count towards the expected rates.
     fn is_healthy(&self) -> bool;
 
-    /// Starts again after an ejection, on probation.
+    /// Resets the evidence after an ejection to a level from which few failures eject the server again.
     fn start_probation(&mut self);
 }
--- a/agatetrestle/src/health/sequential.rs
+++ b/agatetrestle/src/health/sequential.rs
@@ -1,17 +1,20 @@
 //! The risk-adjusted sequential probability ratio test.
 //!
-//! After Spiegelhalter, Grigg, Kinsman and Treasure, "FailureRates-adjusted sequential probability ratio tests:
+//! After Spiegelhalter, Grigg, Kinsman and Treasure, "Risk-adjusted sequential probability ratio tests:
 //! applications to Bristol, Shipman and adult cardiac surgery" (International Journal for Quality in
-//! Health Care, 2003): each outcome moves a log-likelihood ratio by an amount that depends on how
-//! likely the failure was for that call, so that a server is not blamed for getting the hard calls.
+//! Health Care, 2003). Each outcome changes a log-likelihood ratio by an amount that depends on the expected
+//! failure rate of the call, so a server is not ejected for receiving calls that often fail.
 
 use crate::health::OutlierDetector;
 
-const MISSED: f64 = 0.05;
-const PROBATION: f64 = 0.5;
-const CALM: f64 = 0.5;
-const LEAST_RISK: f64 = 1e-4;
-const MOST_RISK: f64 = 0.5;
+/// Probability of missing a faulty server, from which the threshold is derived.
+const MISS_PROBABILITY: f64 = 0.05;
+/// Evidence at the start of probation, as a share of the threshold.
+const PROBATION_SHARE: f64 = 0.5;
+/// Evidence below which a server counts as healthy, as a share of the threshold.
+const HEALTHY_SHARE: f64 = 0.5;
+const MIN_EXPECTED_RATE: f64 = 1e-4;
+const MAX_EXPECTED_RATE: f64 = 0.5;
 
 /// Tests whether the odds of failure are at least a given multiple of the expected ones.
 #[derive(Clone, Copy, Debug)]
@@ -22,14 +25,14 @@
 }
 
 impl SequentialTest {
-    /// A test for this multiple of the odds, which ejects a healthy server with about this
-    /// probability. The caller divides the probability by the number of servers watched.
+    /// Creates a test for `odds_ratio` that ejects a healthy server with a probability of about `false_ejection`. If
+    /// several servers are tested, the caller divides the probability by their number.
     #[must_use]
-    pub fn new(odds_ratio: f64, false_alarm: f64) -> Self {
-        Self { odds_ratio, threshold: ((1.0 - MISSED) / false_alarm).ln(), evidence: 0.0 }
+    pub fn new(odds_ratio: f64, false_ejection: f64) -> Self {
+        Self { odds_ratio, threshold: ((1.0 - MISS_PROBABILITY) / false_ejection).ln(), evidence: 0.0 }
     }
 
-    /// A test with the threshold itself, for comparisons.
+    /// Creates a test with a given threshold, for comparisons.
     #[must_use]
     pub fn with_threshold(odds_ratio: f64, threshold: f64) -> Self {
         Self { odds_ratio, threshold, evidence: 0.0 }
@@ -37,11 +40,11 @@
 }
 
 impl OutlierDetector for SequentialTest {
-    fn record(&mut self, failed: bool, risk: f64) {
-        let risk = risk.clamp(LEAST_RISK, MOST_RISK);
-        let success = -(1.0 - risk + self.odds_ratio * risk).ln();
+    fn record(&mut self, failed: bool, expected_rate: f64) {
+        let rate = expected_rate.clamp(MIN_EXPECTED_RATE, MAX_EXPECTED_RATE);
+        let success = -(1.0 - rate + self.odds_ratio * rate).ln();
         let step = if failed { success + self.odds_ratio.ln() } else { success };
-        // Evidence for health is not saved up: a server that was well for a day may fail now.
+        // Past successes must not delay the detection of a fault, so the evidence never falls below 0.
         self.evidence = (self.evidence + step).max(0.0);
     }
 
@@ -50,10 +53,10 @@
     }
 
     fn is_healthy(&self) -> bool {
-        self.evidence < self.threshold * CALM
+        self.evidence < self.threshold * HEALTHY_SHARE
     }
 
     fn start_probation(&mut self) {
-        self.evidence = self.threshold * PROBATION;
+        self.evidence = self.threshold * PROBATION_SHARE;
     }
 }
