--- a/agatetrestle/src/placing/cost.rs
+++ b/agatetrestle/src/placing/cost.rs
@@ -1,7 +1,7 @@
-//! Placing by the least expected cost, over a bounded choice of candidates.
+//! Placement by the least expected cost among a bounded number of candidates.
 //!
-//! The cost is the time until the answer is expected, plus the time that the call takes from the
-//! others on that engine; see docs/design/006-placing-and-retention.md.
+//! The cost is the expected time to the end of the response, plus the time by which the call delays others on the same
+//! engine; see docs/design/006-placing-and-retention.md.
 
 use crate::placing::Fetch;
 use crate::placing::Placement;
@@ -16,47 +16,53 @@
 use crate::scheduler::programs::Place;
 use crate::scheduler::random::Random;
 
-/// Up to this many open servers all are candidates.
-const SMALL_POOL: usize = 8;
+/// With at most this many open servers, all of them are candidates.
+const MAX_SMALL_POOL: usize = 8;
 const RANDOM_CANDIDATES: usize = 2;
-const PEER_CANDIDATES: usize = 2;
-const MAX_CANDIDATES: usize = SMALL_POOL + 2;
+const ADJACENT_CANDIDATES: usize = 2;
+const MAX_CANDIDATES: usize = MAX_SMALL_POOL + 2;
 const PERCENT: u64 = 100;
 
-/// Chooses the server of the least expected cost.
+/// Places calls on the server with the least expected cost.
 #[derive(Debug)]
 pub struct CostPlacer {
     cfg: SchedulerConfig,
-    moves: bool,
+    imports: bool,
     rng: Random,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Priced {
+struct Candidate {
     key: BackendKey,
     cost: u64,
     fetch: Fetch,
 }
 
 impl CostPlacer {
-    /// Takes the costs from the configuration; `moves` says whether prefixes may be moved.
+    /// Creates a placer with the costs of a configuration. `imports` says whether prefixes may be imported.
     #[must_use]
-    pub fn new(cfg: &SchedulerConfig, moves: bool, seed: u64) -> Self {
-        Self { cfg: cfg.clone(), moves, rng: Random::new(seed) }
+    pub fn new(cfg: &SchedulerConfig, imports: bool, seed: u64) -> Self {
+        Self { cfg: cfg.clone(), imports, rng: Random::new(seed) }
     }
 
-    /// The holder of the prefix, its peers in declared order and random others; all if they are few.
-    fn candidates(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &PlacementRequest<'_>) -> Vec<BackendKey> {
+    /// The servers of the program and of its root, some adjacent in declared order from a random start, and some random
+    /// ones. All open servers of a small pool.
+    fn candidates(
+        &mut self,
+        fleet: &Fleet,
+        pool: PoolKey,
+        request: &PlacementRequest<'_>,
+    ) -> Vec<BackendKey> {
         let pool = &fleet.pools[pool];
-        if pool.open.len() <= SMALL_POOL {
+        if pool.open.len() <= MAX_SMALL_POOL {
             return pool.open.clone();
         }
         let mut chosen = Vec::with_capacity(MAX_CANDIDATES);
-        for key in [wanted.last_server, wanted.root_server].into_iter().flatten() {
+        for key in [request.last_server, request.root_server].into_iter().flatten() {
             push_open(&mut chosen, fleet, key);
         }
         let first = self.rng.index(pool.open.len());
-        for offset in 0..PEER_CANDIDATES {
+        for offset in 0..ADJACENT_CANDIDATES {
             push_open(&mut chosen, fleet, pool.open[(first + offset) % pool.open.len()]);
         }
         for _ in 0..RANDOM_CANDIDATES {
@@ -65,12 +71,12 @@
         chosen
     }
 
-    /// Prices a server as if it had room.
-    fn price(&self, server: &Server, key: BackendKey, wanted: &PlacementRequest<'_>) -> Priced {
+    /// The cost of a server, assuming that it has capacity.
+    fn estimate(&self, server: &Server, key: BackendKey, request: &PlacementRequest<'_>) -> Candidate {
         let cfg = &self.cfg;
-        let held = server.residency.prefix_len(wanted.blocks);
-        let missing = missing_tokens(wanted, held);
-        let (fetch, fetched) = self.fetch(key, wanted, missing);
+        let cached_blocks = server.residency.prefix_len(request.blocks);
+        let missing = missing_tokens(request, cached_blocks);
+        let (fetch, fetched) = self.fetch(key, request, missing);
         let computed = missing - fetched;
         let divisor = match fetch {
             Fetch::Move(_) => (cfg.import_divisor / 2).max(1),
@@ -80,94 +86,94 @@
         let queue = server.pending_prefill * cfg.prefill_per_token;
         let load = u64::from(server.load());
         let step = (cfg.step_base + cfg.step_per_request * (load + 1)) * server.pace / PERCENT;
-        let others = prefill * load * cfg.externality / PERCENT;
-        let pressure = self.pressure(server, wanted);
-        let cost = queue + prefill + others + pressure + step * wanted.output_tokens;
-        Priced { key, cost, fetch }
+        let delay_to_others = prefill * load * cfg.externality / PERCENT;
+        let eviction = self.eviction_cost(server, request);
+        let cost = queue + prefill + delay_to_others + eviction + step * request.output_tokens;
+        Candidate { key, cost, fetch }
     }
 
-    fn fetch(&self, key: BackendKey, wanted: &PlacementRequest<'_>, missing: u64) -> (Fetch, u64) {
-        if !self.moves {
+    fn fetch(&self, key: BackendKey, request: &PlacementRequest<'_>, missing: u64) -> (Fetch, u64) {
+        if !self.imports {
             return (Fetch::None, 0);
         }
-        match wanted.place {
-            Place::Held(from) if from != key => (Fetch::Move(from), wanted.own_tokens.min(missing)),
-            _ if wanted.exported_tokens > 0 => (Fetch::Import, wanted.exported_tokens.min(missing)),
+        match request.place {
+            Place::Held(from) if from != key => (Fetch::Move(from), request.own_tokens.min(missing)),
+            _ if request.exported_tokens > 0 => (Fetch::Import, request.exported_tokens.min(missing)),
             _ => (Fetch::None, 0),
         }
     }
 
-    /// What it costs to bring back later what has to make room now.
-    fn pressure(&self, server: &Server, wanted: &PlacementRequest<'_>) -> u64 {
-        let held = server.pinned_tokens + server.idle_tokens + required_tokens(wanted);
-        let over = held.saturating_sub(server.cache_budget(self.cfg.cache_fill));
-        over.min(required_tokens(wanted)) * self.cfg.prefill_per_token / self.cfg.import_divisor.max(1)
+    /// The cost of importing again later what has to be evicted for the call.
+    fn eviction_cost(&self, server: &Server, request: &PlacementRequest<'_>) -> u64 {
+        let used = server.pinned_tokens + server.idle_tokens + required_tokens(request);
+        let excess = used.saturating_sub(server.cache_budget(self.cfg.cache_fill));
+        excess.min(required_tokens(request)) * self.cfg.prefill_per_token / self.cfg.import_divisor.max(1)
     }
 
-    fn has_memory(&self, server: &Server, wanted: &PlacementRequest<'_>) -> bool {
+    fn has_memory(&self, server: &Server, request: &PlacementRequest<'_>) -> bool {
         let budget = server.cache_budget(self.cfg.cache_fill);
-        server.running == 0 || server.pinned_tokens + required_tokens(wanted) <= budget
+        server.running == 0 || server.pinned_tokens + required_tokens(request) <= budget
     }
 
-    /// The price of waiting until the home of the program, or of the one that started it, has room.
-    fn price_of_holding(
+    /// The cost of waiting until the last server of the program, or of its root, has capacity.
+    fn waiting_cost(
         &self,
         fleet: &Fleet,
         pool: PoolKey,
-        wanted: &PlacementRequest<'_>,
-    ) -> Option<Priced> {
-        if wanted.waited > self.cfg.hold_bound {
+        request: &PlacementRequest<'_>,
+    ) -> Option<Candidate> {
+        if request.waited > self.cfg.hold_bound {
             return None;
         }
-        let home = wanted.last_server.or(wanted.root_server)?;
-        let server = fleet.servers.get(home).filter(|s| s.usable() && s.pool == pool)?;
-        if server.running < server.limit && self.has_memory(server, wanted) {
+        let key = request.last_server.or(request.root_server)?;
+        let server = fleet.servers.get(key).filter(|s| s.usable() && s.pool == pool)?;
+        if server.running < server.limit && self.has_memory(server, request) {
             return None;
         }
-        let priced = self.price(server, home, wanted);
+        let candidate = self.estimate(server, key, request);
         let step = self.cfg.step_base + self.cfg.step_per_request * u64::from(server.load());
-        let service = step * wanted.output_tokens;
+        let service_time = step * request.output_tokens;
         let ahead = u64::from(server.held_back) + 1;
-        let wait = service * ahead / u64::from(server.limit.max(1));
-        Some(Priced { cost: priced.cost + wait, ..priced })
+        let wait = service_time * ahead / u64::from(server.limit.max(1));
+        Some(Candidate { cost: candidate.cost + wait, ..candidate })
     }
 }
 
 impl Placer for CostPlacer {
-    fn place(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &PlacementRequest<'_>) -> Placement {
-        if wanted.blocks.is_empty() {
-            return LeastLoad.place(fleet, pool, wanted);
+    fn place(&mut self, fleet: &Fleet, pool: PoolKey, request: &PlacementRequest<'_>) -> Placement {
+        if request.blocks.is_empty() {
+            return LeastLoad.place(fleet, pool, request);
         }
         let best = self
-            .candidates(fleet, pool, wanted)
+            .candidates(fleet, pool, request)
             .into_iter()
             .map(|key| (key, &fleet.servers[key]))
-            .filter(|(_, server)| self.has_memory(server, wanted))
-            .map(|(key, server)| self.price(server, key, wanted))
-            .min_by_key(|priced| (priced.cost, priced.key));
-        let holding = self.price_of_holding(fleet, pool, wanted);
-        match (best, holding) {
-            (Some(best), Some(holding)) if holding.cost < best.cost => Placement::WaitFor(holding.key),
+            .filter(|(_, server)| self.has_memory(server, request))
+            .map(|(key, server)| self.estimate(server, key, request))
+            .min_by_key(|candidate| (candidate.cost, candidate.key));
+        let waiting = self.waiting_cost(fleet, pool, request);
+        match (best, waiting) {
+            (Some(best), Some(waiting)) if waiting.cost < best.cost => Placement::WaitFor(waiting.key),
             (Some(best), _) => Placement::Send { to: best.key, fetch: best.fetch },
-            (None, Some(holding)) => Placement::WaitFor(holding.key),
+            (None, Some(waiting)) => Placement::WaitFor(waiting.key),
             (None, None) => Placement::NoCapacity,
         }
     }
 }
 
-/// Tokens that the call adds to what its engine must keep: shared prefixes are there anyhow.
+/// Tokens that a call adds to the cache of its engine, which already holds shared prefixes.
 #[must_use]
-pub fn required_tokens(wanted: &PlacementRequest<'_>) -> u64 {
-    let shared = wanted.shared_tokens.min(wanted.prompt_tokens);
-    wanted.prompt_tokens - shared + wanted.output_tokens
+pub fn required_tokens(request: &PlacementRequest<'_>) -> u64 {
+    let shared = request.shared_tokens.min(request.prompt_tokens);
+    request.prompt_tokens - shared + request.output_tokens
 }
 
-/// Prompt tokens beyond the blocks that are held.
+/// Estimated prompt tokens beyond the leading `cached_blocks`.
 #[must_use]
-pub fn missing_tokens(wanted: &PlacementRequest<'_>, held: usize) -> u64 {
-    let count = u64::try_from(wanted.blocks.len()).unwrap_or(u64::MAX).max(1);
-    let held = u64::try_from(held).unwrap_or(u64::MAX);
-    wanted.prompt_tokens - (wanted.prompt_tokens / count * held).min(wanted.prompt_tokens)
+pub fn missing_tokens(request: &PlacementRequest<'_>, cached_blocks: usize) -> u64 {
+    let count = u64::try_from(request.blocks.len()).unwrap_or(u64::MAX).max(1);
+    let cached_blocks = u64::try_from(cached_blocks).unwrap_or(u64::MAX);
+    request.prompt_tokens - (request.prompt_tokens / count * cached_blocks).min(request.prompt_tokens)
 }
 
 fn push_open(chosen: &mut Vec<BackendKey>, fleet: &Fleet, key: BackendKey) {
--- a/agatetrestle/src/placing/mod.rs
+++ b/agatetrestle/src/placing/mod.rs
@@ -1,4 +1,4 @@
-//! Placing: which backend server gets a call; see docs/design/006-placing-and-retention.md.
+//! Placement of calls on backend servers; see docs/design/006-placing-and-retention.md.
 
 pub mod cost;
 pub mod least_load;
@@ -13,60 +13,60 @@
 use crate::scheduler::fleet::PoolKey;
 use crate::scheduler::programs::Place;
 
-/// A call that wants a place.
+/// A call to place.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// Blocks of its prompt, empty for a service.
+    /// Block hashes of its prompt, empty for a service call.
     pub blocks: &'a [u64],
     /// Tokens of its prompt.
     pub prompt_tokens: u64,
-    /// Tokens that the answer is expected to have.
+    /// Expected tokens of the response.
     pub output_tokens: u64,
-    /// Tokens that only its program holds.
+    /// Tokens of the program's prefix that no other program shares.
     pub own_tokens: u64,
-    /// Leading tokens that were there before the program's first call.
+    /// Leading tokens that were already cached at the program's first call.
     pub shared_tokens: u64,
-    /// Tokens that may be imported, because this program or its outermost one was once exported.
+    /// Tokens that can be imported, because the prefix of the program or of its root has been exported.
     pub exported_tokens: u64,
-    /// Where its own tokens are.
+    /// Location of the program's own tokens.
     pub place: Place,
-    /// The server of the program's last call.
+    /// Server of the program's last call.
     pub last_server: Option<BackendKey>,
-    /// The server of the last call of its outermost program.
+    /// Server of the last call of its root program.
     pub root_server: Option<BackendKey>,
-    /// How long it has waited.
+    /// Time since it was submitted.
     pub waited: Duration,
 }
 
-/// How the program's prefix gets to the server.
+/// How the program's prefix is brought to the server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fetch {
-    /// It is there, or what is missing is computed.
+    /// It is cached, or what is missing is computed.
     None,
-    /// It is imported from where it was exported to.
+    /// It is imported from its export.
     Import,
-    /// It is exported from this server and then imported.
+    /// It is exported from the given server and then imported.
     Move(BackendKey),
 }
 
-/// What became of a call that wanted a place.
+/// The decision about a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Placement {
-    /// It is sent.
+    /// Send it to a server.
     Send {
-        /// Where to.
+        /// The server to send it to.
         to: BackendKey,
-        /// How its prefix gets there.
+        /// How its prefix is brought there.
         fetch: Fetch,
     },
-    /// It had better wait for this server.
+    /// Keep it queued until the given server has capacity.
     WaitFor(BackendKey),
-    /// No server has room for it.
+    /// No server has capacity for it.
     NoCapacity,
 }
 
-/// Chooses places.
+/// A placement policy.
 pub trait Placer: fmt::Debug {
-    /// Chooses among the open servers of a pool.
-    fn place(&mut self, fleet: &Fleet, pool: PoolKey, wanted: &PlacementRequest<'_>) -> Placement;
+    /// Places a call on one of the open servers of a pool.
+    fn place(&mut self, fleet: &Fleet, pool: PoolKey, request: &PlacementRequest<'_>) -> Placement;
 }
--- a/agatetrestle/src/placing/residency.rs
+++ b/agatetrestle/src/placing/residency.rs
@@ -1,13 +1,13 @@
-//! What an engine's prefix cache is believed to hold.
+//! Estimate of the contents of an engine's prefix cache.
 //!
-//! Cache events come late and with gaps, so this is a belief: it is corrected by each answer's count
-//! of cached tokens, and it is bounded by two generations instead of mirroring the engine's eviction.
+//! Cache events are delayed and may be lost. The estimate is corrected by the count of cached tokens in each response,
+//! and two generations bound it, since it can't reproduce the engine's eviction.
 
 use std::collections::HashSet;
 use std::hash::BuildHasherDefault;
 use std::hash::Hasher;
 
-/// Passes block hashes through, which are already well spread.
+/// Identity hasher for block hashes, which are already uniformly distributed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BlockHasher(u64);
 
@@ -29,7 +29,7 @@
 
 type Blocks = HashSet<u64, BuildHasherDefault<BlockHasher>>;
 
-/// Blocks believed to be held by one engine, at most twice what it can hold.
+/// Estimated blocks in the cache of one engine, at most twice its capacity.
 #[derive(Clone, Debug, Default)]
 pub struct Residency {
     young: Blocks,
@@ -38,18 +38,18 @@
 }
 
 impl Residency {
-    /// Sets how many blocks the engine can hold.
+    /// Sets the capacity of the engine's cache in blocks.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
 
-    /// How many leading blocks are believed held. A held block implies those before it.
+    /// Number of leading blocks that are cached. A cached block implies that those before it are cached too.
     #[must_use]
     pub fn prefix_len(&self, blocks: &[u64]) -> usize {
         blocks.partition_point(|block| self.young.contains(block) || self.old.contains(block))
     }
 
-    /// Takes in blocks that were stored or read.
+    /// Adds blocks that were stored or read.
     pub fn insert(&mut self, blocks: &[u64]) {
         for block in blocks {
             if self.young.len() >= self.capacity.max(1) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Forgets blocks.
+    /// Removes evicted blocks.
     pub fn remove(&mut self, blocks: &[u64]) {
         for block in blocks {
             self.young.remove(block);
@@ -67,19 +67,19 @@
         }
     }
 
-    /// Forgets everything.
+    /// Removes all blocks.
     pub fn clear(&mut self) {
         self.young.clear();
         self.old.clear();
     }
 
-    /// Blocks believed held.
+    /// Number of entries, counting blocks in both generations twice.
     #[must_use]
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether nothing is believed held.
+    /// Whether no block is cached.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.young.is_empty() && self.old.is_empty()
