--- a/agatetrestle/examples/commits.rs
+++ b/agatetrestle/examples/commits.rs
@@ -154,7 +154,7 @@
         clock_drift: Duration::from_millis(50),
         seed: 1,
         max_in_flight: 4_096,
-        max_wait: Duration::from_secs(10),
+        max_commit_wait: Duration::from_secs(10),
         max_batch_bytes: 1 << 20,
     }
 }
@@ -232,7 +232,7 @@
         Output::Write(write) => writes.send(write).is_ok(),
         Output::Send(message) => peers[&message.to].send(Input::Receive(message)).is_ok(),
         Output::Apply { ticket: Some(ticket), .. } => tell.send(Told::Done(ticket)).is_ok(),
-        Output::Reject { .. } | Output::Unknown(_) => tell.send(Told::Turned).is_ok(),
+        Output::Reject { .. } | Output::OutcomeUnknown(_) => tell.send(Told::Turned).is_ok(),
         Output::Role { leader: Some(node), .. } if replica.is_leader() => {
             tell.send(Told::Leader(node)).is_ok()
         }
--- a/agatetrestle/examples/slopes/log.rs
+++ b/agatetrestle/examples/slopes/log.rs
@@ -12,9 +12,9 @@
 use agatetrestle::agreement::message::EntryKind;
 use agatetrestle::agreement::message::Message;
 use agatetrestle::agreement::message::Position;
+use agatetrestle::agreement::replica::PersistentState;
 use agatetrestle::agreement::replica::Replica;
 use agatetrestle::agreement::replica::ReplicaConfig;
-use agatetrestle::agreement::replica::Restored;
 use agatetrestle::clock::Timestamp;
 use agatetrestle::ids::GroupId;
 use agatetrestle::ids::NodeId;
@@ -46,12 +46,14 @@
             clock_drift: Duration::from_millis(30),
             seed: 7,
             max_in_flight: 4_096,
-            max_wait: Duration::from_secs(10),
+            max_commit_wait: Duration::from_secs(10),
             max_batch_bytes: 1 << 20,
         };
         let voters = Replicas { voters: (1..=3).map(NodeId).collect(), ..Replicas::default() };
-        let mut leader =
-            Self { replica: Replica::new(cfg, voters, Restored::default(), Timestamp(0)), now: Timestamp(0) };
+        let mut leader = Self {
+            replica: Replica::new(cfg, voters, PersistentState::default(), Timestamp(0)),
+            now: Timestamp(0),
+        };
         while !leader.replica.is_leader() {
             leader.now = leader.now + Duration::from_millis(10);
             leader.feed(Input::Tick);
--- a/agatetrestle/src/agreement/coding.rs
+++ b/agatetrestle/src/agreement/coding.rs
@@ -58,7 +58,7 @@
 ///
 /// If a replica set took more than 4 GiB.
 #[must_use]
-pub fn snapshot_head(replicas: &Replicas) -> Vec<u8> {
+pub fn snapshot_header(replicas: &Replicas) -> Vec<u8> {
     let replicas = encode_replicas(replicas);
     let length = u32::try_from(replicas.len()).expect("a replica set is small");
     let mut buf = Vec::with_capacity(LENGTH_BYTES + replicas.len());
--- a/agatetrestle/src/agreement/message.rs
+++ b/agatetrestle/src/agreement/message.rs
@@ -54,7 +54,7 @@
 impl Message {
     /// Whether a leader counts the receiver as a learner, which a node without a replica takes for an invitation.
     #[must_use]
-    pub fn invites(&self) -> bool {
+    pub fn addresses_learner(&self) -> bool {
         matches!(self.body, Body::Append { learner: true, .. } | Body::Snapshot { learner: true, .. })
     }
 }
@@ -131,5 +131,5 @@
         round: u64,
     },
     /// The leader, about to stop, asks the receiver to stand for election at once.
-    TakeOver,
+    TimeoutNow,
 }
--- a/agatetrestle/src/agreement/mod.rs
+++ b/agatetrestle/src/agreement/mod.rs
@@ -39,12 +39,12 @@
     pub vote: Option<NodeId>,
     /// Set on a replica that joined without files, until a later message counts it as a voter: it then
     /// neither votes nor stands, since its log may name it a voter from before it lost its files.
-    pub without_vote: Option<Admission>,
+    pub without_vote: Option<LearnerAdmission>,
 }
 
 /// The message by which a leader let a replica without files take part as a learner.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Admission {
+pub struct LearnerAdmission {
     /// Term of the leader, never 0.
     pub term: u64,
     /// Its round.
@@ -97,8 +97,8 @@
         /// The last entry the snapshot covers.
         position: Position,
     },
-    /// The coded state machine that [`Output::CodeSnapshot`] asked for, as of its last applied entry.
-    SnapshotCoded {
+    /// The coded state machine that [`Output::EncodeSnapshot`] asked for, as of its last applied entry.
+    SnapshotEncoded {
         /// That entry.
         position: Position,
         /// The coded state machine.
@@ -112,7 +112,7 @@
         change: ReplicaChange,
     },
     /// This node is about to stop: hand leadership to a caught-up voter.
-    HandOver,
+    TransferLeadership,
 }
 
 /// What must be made durable, in sequence, before [`Input::Written`] is said.
@@ -172,9 +172,9 @@
     },
     /// Replace the state machine by a snapshot.
     Restore(Snapshot),
-    /// Code the state machine for a peer that lags too far, and answer [`Input::SnapshotCoded`]. The replica holds no
+    /// Code the state machine for a peer that lags too far, and answer [`Input::SnapshotEncoded`]. The replica holds no
     /// copy of the state from before, which would cost memory all day for a case that is rare.
-    CodeSnapshot,
+    EncodeSnapshot,
     /// A read may be answered from the state machine as it is now.
     ReadReady(Ticket),
     /// The proposal, read or change did not enter the log.
@@ -192,7 +192,7 @@
         replicas: Replicas,
     },
     /// The proposal entered the log but leadership was lost; it may yet be applied.
-    Unknown(Ticket),
+    OutcomeUnknown(Ticket),
     /// Leadership, term or known leader changed.
     Role {
         /// The term.
@@ -203,7 +203,7 @@
 }
 
 /// Codes a state that was set aside.
-pub type Freeze = Box<dyn FnOnce() -> Vec<u8> + Send>;
+pub type SnapshotEncoder = Box<dyn FnOnce() -> Vec<u8> + Send>;
 
 /// What a replicated group computes.
 pub trait StateMachine {
@@ -213,7 +213,7 @@
 
     /// Applies a command whose reply nobody waits for, as all but the leader do and everyone at a start; coding a
     /// reply may cost more than the command.
-    fn follow(&mut self, position: Position, payload: &Arc<[u8]>) {
+    fn apply_without_reply(&mut self, position: Position, payload: &Arc<[u8]>) {
         self.apply(position, payload);
     }
 
@@ -222,7 +222,7 @@
 
     /// What codes the state as it is now, on whatever thread: a state that takes long to code hands out a copy that
     /// shares its texts, since a replica that is busy for longer than an election lasts is held to be lost.
-    fn freeze(&self) -> Freeze {
+    fn snapshot_encoder(&self) -> SnapshotEncoder {
         let data = self.snapshot();
         Box::new(move || data)
     }
@@ -255,13 +255,13 @@
 pub enum RestoreError {
     /// Its bytes can't be decoded.
     #[snafu(display("the snapshot can't be decoded: {source}"))]
-    Coded {
+    Undecodable {
         /// What the decoder said.
         source: DecodeError,
     },
     /// It refers to history that is not there.
     #[snafu(display("the snapshot does not fit the history: {source}"))]
-    Unbacked {
+    MissingHistory {
         /// What is missing.
         source: HistoryError,
     },
--- a/agatetrestle/src/agreement/replica/change.rs
+++ b/agatetrestle/src/agreement/replica/change.rs
@@ -120,7 +120,7 @@
         };
         if leader.progress.get(&to).is_some_and(|progress| progress.matched == last) {
             leader.lease_forfeited = true;
-            self.send(to, Body::TakeOver);
+            self.send(to, Body::TimeoutNow);
         }
     }
 
--- a/agatetrestle/src/agreement/replica/election.rs
+++ b/agatetrestle/src/agreement/replica/election.rs
@@ -82,7 +82,7 @@
             return;
         };
         for (ticket, _) in state.tickets.into_values() {
-            self.out.push(Output::Unknown(ticket));
+            self.out.push(Output::OutcomeUnknown(ticket));
         }
         for read in state.reads {
             self.reject(read.ticket, Rejection::NotLeader(leader));
--- a/agatetrestle/src/agreement/replica/mod.rs
+++ b/agatetrestle/src/agreement/replica/mod.rs
@@ -34,9 +34,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::agreement::Admission;
 use crate::agreement::HardState;
 use crate::agreement::Input;
+use crate::agreement::LearnerAdmission;
 use crate::agreement::Output;
 use crate::agreement::Rejection;
 use crate::agreement::Replicas;
@@ -75,14 +75,14 @@
     /// Entries that may be uncommitted at once.
     pub max_in_flight: usize,
     /// Age of the oldest command that waits to be committed beyond which no further one is taken.
-    pub max_wait: Duration,
+    pub max_commit_wait: Duration,
     /// Payload bytes after which a batch or a chunk of a snapshot is full.
     pub max_batch_bytes: usize,
 }
 
 /// What the storage found at start.
 #[derive(Clone, Debug, Default)]
-pub struct Restored {
+pub struct PersistentState {
     /// Term and vote.
     pub hard_state: HardState,
     /// The newest snapshot.
@@ -126,7 +126,7 @@
     /// Set on a replica that may once have voted and forgot it, until a leader counts it as a learner.
     joining: bool,
     /// Set from then on until a leader counts it as a voter; see [`HardState::without_vote`].
-    without_vote: Option<Admission>,
+    without_vote: Option<LearnerAdmission>,
     /// The write that the present step gathers.
     write: Write,
     sequence: u64,
@@ -147,8 +147,8 @@
     ///
     /// It behaves as if it had just heard from a leader, since it may have promised one not to vote.
     #[must_use]
-    pub fn new(cfg: ReplicaConfig, initial: Replicas, restored: Restored, now: Timestamp) -> Self {
-        let Restored { hard_state, snapshot, entries } = restored;
+    pub fn new(cfg: ReplicaConfig, initial: Replicas, restored: PersistentState, now: Timestamp) -> Self {
+        let PersistentState { hard_state, snapshot, entries } = restored;
         let base = snapshot.as_ref().map_or(Position::default(), |snapshot| snapshot.position);
         let replicas = snapshot.as_ref().map_or(initial, |snapshot| snapshot.replicas.clone());
         let mut sets = ReplicaSets::new(base.index, replicas);
@@ -200,7 +200,7 @@
     /// It then follows without a vote until a leader counts it as a voter.
     #[must_use]
     pub fn joining(cfg: ReplicaConfig, now: Timestamp) -> Self {
-        let mut replica = Self::new(cfg, Replicas::default(), Restored::default(), now);
+        let mut replica = Self::new(cfg, Replicas::default(), PersistentState::default(), now);
         replica.joining = true;
         replica
     }
@@ -218,7 +218,7 @@
                 body
         {
             self.joining = false;
-            self.without_vote = Some(Admission { term, round: *round });
+            self.without_vote = Some(LearnerAdmission { term, round: *round });
         }
         !self.joining
     }
@@ -229,7 +229,7 @@
         if let Some(admission) = self.without_vote
             && let Body::Append { learner: false, round, .. } | Body::Snapshot { learner: false, round, .. } =
                 body
-            && (Admission { term: self.term, round: *round }) > admission
+            && (LearnerAdmission { term: self.term, round: *round }) > admission
         {
             self.without_vote = None;
             self.save_hard_state();
@@ -253,9 +253,9 @@
             Input::Written(sequence) => self.acknowledge_writes(now, sequence),
             Input::WriteFailed => self.fail(),
             Input::SnapshotTaken { position } => self.take_snapshot(position),
-            Input::SnapshotCoded { position, data } => self.send_coded(position, data),
+            Input::SnapshotEncoded { position, data } => self.send_coded(position, data),
             Input::ChangeReplicas { ticket, change } => self.change_replicas(now, ticket, change),
-            Input::HandOver => self.hand_over(now),
+            Input::TransferLeadership => self.hand_over(now),
         }
         self.flush_write();
         self.report_role();
@@ -343,7 +343,7 @@
             Body::SnapshotReply { position, received, round } => {
                 self.receive_snapshot_reply(now, from, position, received, round);
             }
-            Body::TakeOver => self.receive_take_over(now, from),
+            Body::TimeoutNow => self.receive_take_over(now, from),
         }
     }
 
--- a/agatetrestle/src/agreement/replica/replication.rs
+++ b/agatetrestle/src/agreement/replica/replication.rs
@@ -72,7 +72,7 @@
         }
         let in_flight = usize::try_from(self.log.last().index - self.commit).unwrap_or(usize::MAX);
         let oldest = leader.tickets.first_key_value().map(|(_, (_, since))| *since);
-        let late = oldest.is_some_and(|since| now.since(since) > self.cfg.max_wait);
+        let late = oldest.is_some_and(|since| now.since(since) > self.cfg.max_commit_wait);
         if late || in_flight >= self.cfg.max_in_flight {
             return Err(Rejection::Busy);
         }
--- a/agatetrestle/src/agreement/replica/snapshot.rs
+++ b/agatetrestle/src/agreement/replica/snapshot.rs
@@ -84,14 +84,14 @@
         if ready {
             self.send_chunk(peer);
         } else {
-            self.out.push(Output::CodeSnapshot);
+            self.out.push(Output::EncodeSnapshot);
         }
     }
 
     /// Sends the snapshot that the driver coded to all peers that wait for one.
     pub(super) fn send_coded(&mut self, position: Position, data: Bytes) {
         let usable = position.index <= self.applied && position.index >= self.log.base().index;
-        let head = coding::snapshot_head(self.sets.at(position.index)).into();
+        let head = coding::snapshot_header(self.sets.at(position.index)).into();
         let coded = Outgoing { position, head, data };
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -121,7 +121,7 @@
             return;
         };
         let Some(outgoing) = outgoing else {
-            self.out.push(Output::CodeSnapshot);
+            self.out.push(Output::EncodeSnapshot);
             return;
         };
         let chunk = outgoing.piece(*offset, self.cfg.max_batch_bytes);
--- a/agatetrestle/src/agreement/storage/frame.rs
+++ b/agatetrestle/src/agreement/storage/frame.rs
@@ -7,8 +7,8 @@
 
 use std::sync::Arc;
 
-use crate::agreement::Admission;
 use crate::agreement::HardState;
+use crate::agreement::LearnerAdmission;
 use crate::agreement::message::Entry;
 use crate::agreement::message::EntryKind;
 use crate::agreement::message::Position;
@@ -203,7 +203,7 @@
             HARD_STATE => {
                 let term = self.u64()?;
                 let vote = Some(NodeId(self.u64()?)).filter(|node| node.0 != 0);
-                let admission = Admission { term: self.u64()?, round: self.u64()? };
+                let admission = LearnerAdmission { term: self.u64()?, round: self.u64()? };
                 let without_vote = Some(admission).filter(|admission| admission.term != 0);
                 Some(Record::HardState(HardState { term, vote, without_vote }))
             }
--- a/agatetrestle/src/agreement/storage/mod.rs
+++ b/agatetrestle/src/agreement/storage/mod.rs
@@ -19,7 +19,7 @@
 use crate::agreement::HardState;
 use crate::agreement::Snapshot;
 use crate::agreement::Write;
-use crate::agreement::replica::Restored;
+use crate::agreement::replica::PersistentState;
 use crate::agreement::storage::disk::Disk;
 use crate::agreement::storage::disk::FileDisk;
 use crate::agreement::storage::error::Operation;
@@ -82,7 +82,7 @@
     ///
     /// Fails on I/O errors, if the folder is in use, and on corruption, which it names by file and
     /// offset. A torn write at the end of the log is no corruption and is cut off.
-    pub fn open(data_folder: &Path, cfg: StorageConfig) -> Result<(Self, Restored), StorageError> {
+    pub fn open(data_folder: &Path, cfg: StorageConfig) -> Result<(Self, PersistentState), StorageError> {
         let folder = folder(data_folder, cfg.group);
         let name = folder.to_string_lossy();
         let disk = FileDisk::open(&folder);
@@ -95,7 +95,10 @@
     /// # Errors
     ///
     /// As [`Storage::open`].
-    pub fn open_on(mut disk: Box<dyn Disk>, cfg: StorageConfig) -> Result<(Self, Restored), StorageError> {
+    pub fn open_on(
+        mut disk: Box<dyn Disk>,
+        cfg: StorageConfig,
+    ) -> Result<(Self, PersistentState), StorageError> {
         let recovery::Recovered { restored, segments } = recovery::recover(disk.as_mut(), cfg.group)?;
         let mut storage = Self { disk, cfg, hard_state: restored.hard_state, segments, poisoned: false };
         if storage.segments.is_empty() {
--- a/agatetrestle/src/agreement/storage/recovery.rs
+++ b/agatetrestle/src/agreement/storage/recovery.rs
@@ -3,7 +3,7 @@
 use crate::agreement::HardState;
 use crate::agreement::Snapshot;
 use crate::agreement::message::Entry;
-use crate::agreement::replica::Restored;
+use crate::agreement::replica::PersistentState;
 use crate::agreement::storage::SNAPSHOT_FILE;
 use crate::agreement::storage::Segment;
 use crate::agreement::storage::TEMPORARY_FILE;
@@ -20,7 +20,7 @@
 
 /// What was found, with the segments in order.
 pub(super) struct Recovered {
-    pub(super) restored: Restored,
+    pub(super) restored: PersistentState,
     pub(super) segments: Vec<Segment>,
 }
 
@@ -143,7 +143,7 @@
 
     fn finish(self) -> Recovered {
         let Self { hard_state, snapshot, entries, segments } = self;
-        Recovered { restored: Restored { hard_state, snapshot, entries }, segments }
+        Recovered { restored: PersistentState { hard_state, snapshot, entries }, segments }
     }
 }
 
--- a/agatetrestle/src/agreement/storage/snapshot_file.rs
+++ b/agatetrestle/src/agreement/storage/snapshot_file.rs
@@ -26,7 +26,7 @@
     head.extend_from_slice(&group.0.to_le_bytes());
     head.extend_from_slice(&snapshot.position.term.to_le_bytes());
     head.extend_from_slice(&snapshot.position.index.to_le_bytes());
-    head.extend_from_slice(&coding::snapshot_head(&snapshot.replicas));
+    head.extend_from_slice(&coding::snapshot_header(&snapshot.replicas));
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&head);
     hasher.update(&snapshot.data);
--- a/agatetrestle/src/agreement/storage/tests.rs
+++ b/agatetrestle/src/agreement/storage/tests.rs
@@ -6,15 +6,15 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use crate::agreement::Admission;
 use crate::agreement::HardState;
+use crate::agreement::LearnerAdmission;
 use crate::agreement::Replicas;
 use crate::agreement::Snapshot;
 use crate::agreement::Write;
 use crate::agreement::message::Entry;
 use crate::agreement::message::EntryKind;
 use crate::agreement::message::Position;
-use crate::agreement::replica::Restored;
+use crate::agreement::replica::PersistentState;
 use crate::agreement::storage::Storage;
 use crate::agreement::storage::StorageConfig;
 use crate::agreement::storage::error::StorageError;
@@ -38,7 +38,7 @@
     Snapshot { position: Position { term, index }, replicas, data: vec![7; 30].into() }
 }
 
-fn open(disk: &MemoryDisk) -> Result<(Storage, Restored), StorageError> {
+fn open(disk: &MemoryDisk) -> Result<(Storage, PersistentState), StorageError> {
     Storage::open_on(Box::new(disk.clone()), CFG)
 }
 
@@ -62,8 +62,11 @@
 #[test]
 fn real_files_keep_what_was_written() {
     let folder = TemporaryFolder::new();
-    let state =
-        HardState { term: 4, vote: Some(NodeId(2)), without_vote: Some(Admission { term: 3, round: 8 }) };
+    let state = HardState {
+        term: 4,
+        vote: Some(NodeId(2)),
+        without_vote: Some(LearnerAdmission { term: 3, round: 8 }),
+    };
     let (mut storage, restored) = Storage::open(&folder.0, CFG).unwrap();
     assert!(restored.entries.is_empty());
     storage.write(&[Write { hard_state: Some(state), ..Write::default() }, entries(4, 1..=30)]).unwrap();
--- a/agatetrestle/src/agreement/storage/tests/random.rs
+++ b/agatetrestle/src/agreement/storage/tests/random.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 
-use crate::agreement::Admission;
 use crate::agreement::HardState;
+use crate::agreement::LearnerAdmission;
 use crate::agreement::Write;
 use crate::agreement::message::Entry;
-use crate::agreement::replica::Restored;
+use crate::agreement::replica::PersistentState;
 use crate::agreement::storage::Storage;
 use crate::agreement::storage::tests::entry;
 use crate::agreement::storage::tests::memory::MemoryDisk;
@@ -58,8 +58,8 @@
     }
 }
 
-impl From<Restored> for Model {
-    fn from(restored: Restored) -> Self {
+impl From<PersistentState> for Model {
+    fn from(restored: PersistentState) -> Self {
         let covered = restored.snapshot.map_or(0, |snapshot| snapshot.position.index);
         Self { state: restored.hard_state, covered, entries: restored.entries }
     }
@@ -92,7 +92,8 @@
             Step::Vote => {
                 let term = self.model.state.term + 1;
                 let vote = Some(NodeId(term % 3)).filter(|node| node.0 > 0);
-                let without_vote = Some(Admission { term: term / 2, round: term }).filter(|a| a.term > 0);
+                let without_vote =
+                    Some(LearnerAdmission { term: term / 2, round: term }).filter(|a| a.term > 0);
                 let hard_state = Some(HardState { term, vote, without_vote });
                 self.write(Write { hard_state, ..Write::default() })?;
             }
--- a/agatetrestle/src/agreement/tests/basics.rs
+++ b/agatetrestle/src/agreement/tests/basics.rs
@@ -12,9 +12,9 @@
 use crate::agreement::Replicas;
 use crate::agreement::Ticket;
 use crate::agreement::message::Position;
+use crate::agreement::replica::PersistentState;
 use crate::agreement::replica::Replica;
 use crate::agreement::replica::ReplicaConfig;
-use crate::agreement::replica::Restored;
 use crate::clock::Timestamp;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
@@ -43,12 +43,12 @@
                 clock_drift: Duration::from_millis(5),
                 seed: 7,
                 max_in_flight: 4,
-                max_wait: MAX_WAIT,
+                max_commit_wait: MAX_WAIT,
                 max_batch_bytes: 8,
             };
             (
                 NodeId(id),
-                Replica::new(cfg, initial.clone(), Restored::default(), Timestamp(0)).with_fault(None),
+                Replica::new(cfg, initial.clone(), PersistentState::default(), Timestamp(0)).with_fault(None),
             )
         };
         let replicas = (1..=voters + others).map(start).collect();
@@ -64,10 +64,10 @@
                         inputs.push_back((message.to, Input::Receive(message.clone())));
                     }
                     Output::Write(write) => inputs.push_back((node, Input::Written(write.sequence))),
-                    Output::CodeSnapshot => {
+                    Output::EncodeSnapshot => {
                         let position = self.last_applied(node);
                         let data = vec![9; 100].into();
-                        inputs.push_back((node, Input::SnapshotCoded { position, data }));
+                        inputs.push_back((node, Input::SnapshotEncoded { position, data }));
                     }
                     _ => {}
                 }
@@ -183,7 +183,7 @@
         .outputs
         .iter()
         .filter_map(|(_, output)| match output {
-            Output::Unknown(ticket) => Some(*ticket),
+            Output::OutcomeUnknown(ticket) => Some(*ticket),
             _ => None,
         })
         .collect();
@@ -244,7 +244,7 @@
         _ => false,
     });
     assert!(restored);
-    let coded = network.outputs.iter().filter(|(_, output)| matches!(output, Output::CodeSnapshot)).count();
+    let coded = network.outputs.iter().filter(|(_, output)| matches!(output, Output::EncodeSnapshot)).count();
     assert_eq!(coded, 1, "the state is coded once, when a peer needs it");
     network.change(ReplicaChange::Promote(NodeId(4)));
     network.run(ELECTION_TIMEOUT);
@@ -256,7 +256,7 @@
     let mut network = Network::new(3, 0);
     network.run(ELECTION_TIMEOUT * 3);
     let leader = network.leader();
-    network.input(leader, Input::HandOver);
+    network.input(leader, Input::TransferLeadership);
     assert_ne!(network.leader(), leader);
 }
 
@@ -293,7 +293,7 @@
     assert!(second.step(network.now, Input::Tick).is_empty(), "it has heard nothing yet");
     let cfg = ReplicaConfig { node: NodeId(2), ..config_of(&network) };
     let initial = Replicas { voters: (1..=3).map(NodeId).collect(), learners: BTreeSet::new() };
-    let restarted = Replica::new(cfg, initial, Restored::default(), network.now).with_fault(None);
+    let restarted = Replica::new(cfg, initial, PersistentState::default(), network.now).with_fault(None);
     network.replicas.insert(NodeId(2), restarted);
     let back = network.now;
     network.run(ELECTION_TIMEOUT.saturating_sub(STEP));
--- a/agatetrestle/src/agreement/tests/joining.rs
+++ b/agatetrestle/src/agreement/tests/joining.rs
@@ -24,7 +24,7 @@
         clock_drift: Duration::from_millis(5),
         seed: 7,
         max_in_flight: 4,
-        max_wait: Duration::from_secs(1),
+        max_commit_wait: Duration::from_secs(1),
         max_batch_bytes: 64,
     };
     Replica::joining(cfg, Timestamp(0))
@@ -42,7 +42,8 @@
 fn a_replica_that_lost_its_files_neither_votes_nor_acknowledges() {
     let mut replica = blank();
     let last = Position { term: 4, index: 9 };
-    let bodies = [Body::PreVote { last }, Body::Vote { last, transfer: true }, append(false), Body::TakeOver];
+    let bodies =
+        [Body::PreVote { last }, Body::Vote { last, transfer: true }, append(false), Body::TimeoutNow];
     for body in bodies {
         assert!(replica.step(NOW, from_leader(body)).is_empty());
     }
--- a/agatetrestle/src/agreement/tests/node.rs
+++ b/agatetrestle/src/agreement/tests/node.rs
@@ -12,9 +12,9 @@
 use crate::agreement::Write;
 use crate::agreement::message::Entry;
 use crate::agreement::message::Position;
+use crate::agreement::replica::PersistentState;
 use crate::agreement::replica::Replica;
 use crate::agreement::replica::ReplicaConfig;
-use crate::agreement::replica::Restored;
 use crate::agreement::replica::fault::Fault;
 use crate::agreement::tests::world::Violation;
 use crate::clock::Timestamp;
@@ -44,7 +44,7 @@
     pub(super) slow: bool,
     /// Whether the files were lost and nothing was stored since.
     lost: bool,
-    pub(super) durable: Restored,
+    pub(super) durable: PersistentState,
     pub(super) unsynced: VecDeque<Write>,
     pub(super) applied: Applied,
     /// The newest set known to be committed.
@@ -62,7 +62,7 @@
             paused: false,
             slow: false,
             lost: false,
-            durable: Restored::default(),
+            durable: PersistentState::default(),
             unsynced: VecDeque::new(),
             applied: Applied::new(),
             replicas: Replicas::default(),
@@ -83,7 +83,7 @@
             clock_drift: CLOCK_DRIFT,
             seed: time,
             max_in_flight: 16,
-            max_wait: Duration::from_secs(1),
+            max_commit_wait: Duration::from_secs(1),
             max_batch_bytes: batch,
         };
         let now = self.clock(time);
@@ -127,7 +127,7 @@
     pub(super) fn lose_files(&mut self) {
         self.replica = None;
         self.unsynced.clear();
-        self.durable = Restored::default();
+        self.durable = PersistentState::default();
         self.lost = true;
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// The log as the replica has it in memory, as told by its writes.
-    pub(super) fn log(&self) -> Result<Restored, Violation> {
+    pub(super) fn log(&self) -> Result<PersistentState, Violation> {
         let mut log = self.durable.clone();
         for write in self.unsynced.iter().cloned() {
             store(&mut log, write)?;
@@ -161,7 +161,7 @@
 }
 
 /// Carries out a write as the storage does.
-fn store(disk: &mut Restored, write: Write) -> Result<(), Violation> {
+fn store(disk: &mut PersistentState, write: Write) -> Result<(), Violation> {
     disk.hard_state = write.hard_state.unwrap_or(disk.hard_state);
     if let Some(from) = write.truncate_from {
         disk.entries.retain(|entry| entry.position.index < from);
@@ -179,13 +179,13 @@
     Ok(())
 }
 
-fn last(disk: &Restored) -> Position {
+fn last(disk: &PersistentState) -> Position {
     let covered = disk.snapshot.as_ref().map_or(Position::default(), |snapshot| snapshot.position);
     disk.entries.last().map_or(covered, |entry| entry.position)
 }
 
 /// The entry at an index, if the log holds it; entries that the snapshot covers are not held.
-pub(super) fn entry_at(log: &Restored, index: u64) -> Option<&Entry> {
+pub(super) fn entry_at(log: &PersistentState, index: u64) -> Option<&Entry> {
     log.entries.iter().find(|entry| entry.position.index == index)
 }
 
--- a/agatetrestle/src/agreement/tests/overload.rs
+++ b/agatetrestle/src/agreement/tests/overload.rs
@@ -15,9 +15,9 @@
 use crate::agreement::Replicas;
 use crate::agreement::Ticket;
 use crate::agreement::message::Body;
+use crate::agreement::replica::PersistentState;
 use crate::agreement::replica::Replica;
 use crate::agreement::replica::ReplicaConfig;
-use crate::agreement::replica::Restored;
 use crate::clock::Timestamp;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
@@ -70,7 +70,7 @@
 }
 
 impl Load {
-    fn new(max_wait: Duration) -> Self {
+    fn new(max_commit_wait: Duration) -> Self {
         let voters = (1..=VOTERS).map(NodeId);
         let initial = Replicas { voters: voters.clone().collect(), ..Replicas::default() };
         let process = |node: NodeId| {
@@ -82,10 +82,10 @@
                 clock_drift: Duration::from_millis(20),
                 seed: 7,
                 max_in_flight: 4_096,
-                max_wait,
+                max_commit_wait,
                 max_batch_bytes: 1 << 20,
             };
-            let replica = Replica::new(cfg, initial.clone(), Restored::default(), Timestamp(0));
+            let replica = Replica::new(cfg, initial.clone(), PersistentState::default(), Timestamp(0));
             let queue = std::collections::VecDeque::new();
             (node, Process { replica: replica.with_fault(None), queue, busy: false, syncing_until: 0 })
         };
--- a/agatetrestle/src/agreement/tests/world.rs
+++ b/agatetrestle/src/agreement/tests/world.rs
@@ -179,9 +179,9 @@
                 self.nodes[place].applied = applied;
                 self.nodes[place].replicas = snapshot.replicas;
             }
-            Output::CodeSnapshot => {
+            Output::EncodeSnapshot => {
                 let (position, data) = self.nodes[place].coded();
-                self.input(place, Input::SnapshotCoded { position, data })?;
+                self.input(place, Input::SnapshotEncoded { position, data })?;
             }
             Output::ReadReady(ticket) => self.check_read(place, ticket)?,
             Output::Reject { ticket, .. } => {
@@ -189,7 +189,7 @@
                 self.settle(ticket)?;
                 self.rejected.insert(ticket.0);
             }
-            Output::Unknown(ticket) => self.settle(ticket)?,
+            Output::OutcomeUnknown(ticket) => self.settle(ticket)?,
             Output::Replicas { ticket, replicas } => {
                 self.nodes[place].replicas = replicas;
                 ticket.map_or(Ok(()), |ticket| self.settle(ticket))?;
@@ -427,7 +427,7 @@
     }
 
     pub(super) fn hand_over(&mut self, place: usize) -> Result<(), Violation> {
-        self.input(place, Input::HandOver)
+        self.input(place, Input::TransferLeadership)
     }
 
     pub(super) fn take_snapshot(&mut self, place: usize) -> Result<(), Violation> {
--- a/agatetrestle/src/control/state.rs
+++ b/agatetrestle/src/control/state.rs
@@ -10,9 +10,9 @@
 use snafu::ResultExt;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::agreement::CodedSnafu;
 use crate::agreement::RestoreError;
 use crate::agreement::StateMachine;
+use crate::agreement::UndecodableSnafu;
 use crate::agreement::message::Position;
 use crate::codec::decode;
 use crate::codec::encode;
@@ -170,7 +170,7 @@
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
-        *self = decode(data).context(CodedSnafu)?;
+        *self = decode(data).context(UndecodableSnafu)?;
         Ok(())
     }
 }
--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -127,7 +127,7 @@
             if let Some(replica) = receiving.replica_of(id) {
                 return replica.receive(message);
             }
-            if message.to == own && message.invites() {
+            if message.to == own && message.addresses_learner() {
                 // A full channel means that another group has invited.
                 let _ = inviting.try_send(id);
             }
--- a/agatetrestle/src/node/group.rs
+++ b/agatetrestle/src/node/group.rs
@@ -36,8 +36,8 @@
 use crate::agreement::Write;
 use crate::agreement::message::Message;
 use crate::agreement::message::Position;
+use crate::agreement::replica::PersistentState;
 use crate::agreement::replica::Replica;
-use crate::agreement::replica::Restored;
 use crate::agreement::storage::Storage;
 use crate::agreement::storage::error::StorageError;
 use crate::clock::Clock;
@@ -75,10 +75,10 @@
 pub type HistorySource = Rc<dyn Fn(u64) -> LocalBoxFuture<'static, Option<Vec<u8>>>>;
 
 /// Opens the storage again after a write failed.
-pub type Reopen = Rc<dyn Fn() -> LocalBoxFuture<'static, Result<(Storage, Restored), StorageError>>>;
+pub type Reopen = Rc<dyn Fn() -> LocalBoxFuture<'static, Result<(Storage, PersistentState), StorageError>>>;
 
 /// Makes a replica from what its storage holds.
-pub type MakeReplica = Rc<dyn Fn(Restored, Timestamp) -> Replica>;
+pub type MakeReplica = Rc<dyn Fn(PersistentState, Timestamp) -> Replica>;
 
 /// Sends a message to another node; losing it is harmless.
 pub type Outbox = Rc<dyn Fn(Message)>;
@@ -234,7 +234,7 @@
         }
     }
 
-    fn rebuild(&self, restored: Restored, jobs: &Jobs) -> Result<(), RestoreError> {
+    fn rebuild(&self, restored: PersistentState, jobs: &Jobs) -> Result<(), RestoreError> {
         // What the failed replica still wanted written must not reach the log of the new one.
         while jobs.0.try_recv().is_ok() {}
         self.drop_due();
@@ -300,7 +300,7 @@
 
     /// Hands leadership to another replica before a planned stop.
     pub fn hand_over(&self) {
-        self.feed(Input::HandOver);
+        self.feed(Input::TransferLeadership);
     }
 
     async fn ask(&self, input: impl FnOnce(Ticket) -> Input) -> Verdict {
@@ -336,7 +336,7 @@
             Output::Replicas { ticket, replicas } => {
                 self.backlog.push(Due::Replicas { ticket, replicas });
             }
-            Output::CodeSnapshot => self.code_snapshot(),
+            Output::EncodeSnapshot => self.code_snapshot(),
             // The write of the same snapshot puts it in place once its history is here. Commands held for an
             // earlier one are covered by this one.
             Output::Restore(snapshot) => {
@@ -350,7 +350,7 @@
                 }
                 self.answer(ticket, Verdict::Rejected(reason));
             }
-            Output::Unknown(ticket) => self.answer(ticket, Verdict::Unknown),
+            Output::OutcomeUnknown(ticket) => self.answer(ticket, Verdict::Unknown),
             Output::Role { term, leader } => {
                 let leader = leader.map_or(0, |node| node.0);
                 info!("Group {} is in term {term} with leader {leader}.", self.id.0);
--- a/agatetrestle/src/node/group/apply.rs
+++ b/agatetrestle/src/node/group/apply.rs
@@ -123,7 +123,7 @@
                 let reply = self.machine.borrow_mut().apply(position, payload);
                 self.answer(ticket, Verdict::Applied(reply));
             }
-            None => self.machine.borrow_mut().follow(position, payload),
+            None => self.machine.borrow_mut().apply_without_reply(position, payload),
         }
         self.applied.set(position);
         let grown = self.bytes_since_snapshot.get() + payload.len() as u64;
--- a/agatetrestle/src/node/group/coding.rs
+++ b/agatetrestle/src/node/group/coding.rs
@@ -12,10 +12,10 @@
 use smol::channel::Receiver;
 use smol::channel::Sender;
 
-use crate::agreement::Freeze;
 use crate::agreement::Input;
 use crate::agreement::Replicas;
 use crate::agreement::Snapshot;
+use crate::agreement::SnapshotEncoder;
 use crate::agreement::StateMachine;
 use crate::agreement::message::Position;
 use crate::node::group::Group;
@@ -32,7 +32,7 @@
 /// A state that was set aside.
 struct Task {
     position: Position,
-    freeze: Freeze,
+    freeze: SnapshotEncoder,
     purpose: Purpose,
     life: u64,
 }
@@ -106,7 +106,7 @@
     }
 
     fn set_aside(&self, purpose: Purpose) {
-        let freeze = self.machine.borrow().freeze();
+        let freeze = self.machine.borrow().snapshot_encoder();
         let task = Task { position: self.applied.get(), freeze, purpose, life: self.coder.life.get() };
         // The receiver lasts as long as the group does.
         let _ = self.coder.queue.0.try_send(task);
@@ -125,7 +125,7 @@
                 }
                 Purpose::Peers => {
                     self.coder.for_peers.set(false);
-                    self.feed(Input::SnapshotCoded { position, data });
+                    self.feed(Input::SnapshotEncoded { position, data });
                 }
             }
         }
--- a/agatetrestle/src/node/group/tests.rs
+++ b/agatetrestle/src/node/group/tests.rs
@@ -16,10 +16,10 @@
 use smol::LocalExecutor;
 use smol::Timer;
 
-use crate::agreement::Freeze;
 use crate::agreement::Replicas;
 use crate::agreement::RestoreError;
 use crate::agreement::Snapshot;
+use crate::agreement::SnapshotEncoder;
 use crate::agreement::StateMachine;
 use crate::agreement::Ticket;
 use crate::agreement::message::Position;
@@ -122,7 +122,7 @@
         clock_drift: Duration::from_millis(5),
         seed: 7,
         max_in_flight: 64,
-        max_wait: Duration::from_secs(1),
+        max_commit_wait: Duration::from_secs(1),
         max_batch_bytes: 1 << 16,
     }
 }
@@ -250,7 +250,7 @@
         self.state.snapshot()
     }
 
-    fn freeze(&self) -> Freeze {
+    fn snapshot_encoder(&self) -> SnapshotEncoder {
         let (data, held, codings) = (self.snapshot(), self.held.clone(), self.codings.clone());
         Box::new(move || {
             held.lock().unwrap().recv().unwrap();
--- a/agatetrestle/src/node/replicas.rs
+++ b/agatetrestle/src/node/replicas.rs
@@ -21,9 +21,9 @@
 use crate::agreement::StateMachine;
 use crate::agreement::message::Message;
 use crate::agreement::message::Position;
+use crate::agreement::replica::PersistentState;
 use crate::agreement::replica::Replica;
 use crate::agreement::replica::ReplicaConfig;
-use crate::agreement::replica::Restored;
 use crate::agreement::storage::Storage;
 use crate::agreement::storage::StorageConfig;
 use crate::agreement::storage::error::StorageError;
@@ -94,7 +94,7 @@
     group: GroupId,
     folder: PathBuf,
     storage: Storage,
-    restored: Restored,
+    restored: PersistentState,
 }
 
 impl Found {
@@ -235,7 +235,7 @@
             clock_drift: timing.clock_drift,
             seed: node.0 ^ (u64::from(group.0) << 32),
             max_in_flight: MAX_IN_FLIGHT,
-            max_wait: MAX_WAIT,
+            max_commit_wait: MAX_WAIT,
             max_batch_bytes: MAX_BATCH_BYTES,
         }
     }
@@ -288,7 +288,7 @@
     })
 }
 
-fn is_empty(restored: &Restored) -> bool {
+fn is_empty(restored: &PersistentState) -> bool {
     let no_log = restored.snapshot.is_none() && restored.entries.is_empty();
     no_log && restored.hard_state == HardState::default()
 }
@@ -304,7 +304,11 @@
     saved.context(OpenSnafu { folder })
 }
 
-async fn open_storage(folder: &Path, group: GroupId, segment: u64) -> Result<(Storage, Restored), NodeError> {
+async fn open_storage(
+    folder: &Path,
+    group: GroupId,
+    segment: u64,
+) -> Result<(Storage, PersistentState), NodeError> {
     open_files(folder, group, segment).await.context(OpenSnafu { folder })
 }
 
@@ -312,7 +316,7 @@
     folder: &Path,
     group: GroupId,
     segment: u64,
-) -> Result<(Storage, Restored), StorageError> {
+) -> Result<(Storage, PersistentState), StorageError> {
     let segment_bytes = usize::try_from(segment).unwrap_or(usize::MAX);
     let cfg = StorageConfig { group, segment_bytes };
     let path = folder.to_path_buf();
--- a/agatetrestle/src/node/wire.rs
+++ b/agatetrestle/src/node/wire.rs
@@ -115,7 +115,7 @@
             reply.set_round(*round);
             write_position(reply.init_position(), *position);
         }
-        Body::TakeOver => body.set_take_over(()),
+        Body::TimeoutNow => body.set_take_over(()),
     }
 }
 
@@ -159,7 +159,7 @@
             received: reply.get_received(),
             round: reply.get_round(),
         },
-        Which::TakeOver(()) => Body::TakeOver,
+        Which::TakeOver(()) => Body::TimeoutNow,
     };
     Ok(Message {
         group: GroupId(reader.get_group()),
--- a/agatetrestle/src/node/wire/tests.rs
+++ b/agatetrestle/src/node/wire/tests.rs
@@ -44,7 +44,7 @@
             learner: true,
         },
         Body::SnapshotReply { position: POSITION, received: 8, round: 6 },
-        Body::TakeOver,
+        Body::TimeoutNow,
     ]
 }
 
--- a/agatetrestle/src/programs/ledger.rs
+++ b/agatetrestle/src/programs/ledger.rs
@@ -8,10 +8,10 @@
 use serde::Serialize;
 use snafu::ResultExt;
 
-use crate::agreement::CodedSnafu;
+use crate::agreement::MissingHistorySnafu;
 use crate::agreement::RestoreError;
 use crate::agreement::StateMachine;
-use crate::agreement::UnbackedSnafu;
+use crate::agreement::UndecodableSnafu;
 use crate::agreement::message::Position;
 use crate::codec::decode;
 use crate::codec::encode;
@@ -193,8 +193,8 @@
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
-        let decoded: Decoded = decode(data).context(CodedSnafu)?;
-        self.history.truncate(decoded.history_end).context(UnbackedSnafu)?;
+        let decoded: Decoded = decode(data).context(UndecodableSnafu)?;
+        self.history.truncate(decoded.history_end).context(MissingHistorySnafu)?;
         self.programs = decoded.programs.into_iter().collect();
         Ok(())
     }
@@ -204,7 +204,7 @@
     }
 
     fn history_end(&self, data: &[u8]) -> Result<u64, RestoreError> {
-        let decoded: Decoded = decode(data).context(CodedSnafu)?;
+        let decoded: Decoded = decode(data).context(UndecodableSnafu)?;
         Ok(decoded.history_end)
     }
 }
--- a/agatetrestle/src/turns/state.rs
+++ b/agatetrestle/src/turns/state.rs
@@ -10,10 +10,10 @@
 use serde::Serialize;
 use snafu::ResultExt;
 
-use crate::agreement::CodedSnafu;
-use crate::agreement::Freeze;
 use crate::agreement::RestoreError;
+use crate::agreement::SnapshotEncoder;
 use crate::agreement::StateMachine;
+use crate::agreement::UndecodableSnafu;
 use crate::agreement::message::Position;
 use crate::cluster::message::Holdings;
 use crate::codec::Blob;
@@ -266,13 +266,13 @@
         encode(&reply)
     }
 
-    fn follow(&mut self, _position: Position, payload: &Arc<[u8]>) {
+    fn apply_without_reply(&mut self, _position: Position, payload: &Arc<[u8]>) {
         if let Some(timed) = TimedCommand::decode(payload) {
             self.execute(timed);
         }
     }
 
-    fn freeze(&self) -> Freeze {
+    fn snapshot_encoder(&self) -> SnapshotEncoder {
         let state = self.clone();
         Box::new(move || state.snapshot())
     }
@@ -283,7 +283,7 @@
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
-        *self = decode(data).context(CodedSnafu)?;
+        *self = decode(data).context(UndecodableSnafu)?;
         Ok(())
     }
 }
--- a/agatetrestle/src/turns/tests.rs
+++ b/agatetrestle/src/turns/tests.rs
@@ -294,7 +294,7 @@
         for command in before {
             state.execute(command.clone());
         }
-        let frozen = state.freeze();
+        let frozen = state.snapshot_encoder();
         let mut restored = TurnState::default();
         restored.restore(&state.snapshot()).unwrap();
         prop_assert_eq!(frozen(), state.snapshot());
