--- a/agatetrestle/examples/quickstart/cluster.rs
+++ b/agatetrestle/examples/quickstart/cluster.rs
@@ -10,7 +10,7 @@
 use agatetrestle::node::Node;
 use agatetrestle::node::NodeError;
 use agatetrestle::node::listeners::Listeners;
-use agatetrestle::node::replicas::Missing;
+use agatetrestle::node::replicas::MissingFiles;
 use agatetrestle::ports::GroupError;
 use agatetrestle_config::Settings;
 use agatetrestle_config::settings::Listen;
@@ -186,7 +186,7 @@
     for (id, bound) in (1..=NODES).zip(listeners) {
         let settings = settings(id, &peers, folder);
         let own = Rc::new(LocalExecutor::new());
-        let node = executor.run(Node::start(settings, bound, own.clone(), Missing::Bootstrap)).await?;
+        let node = executor.run(Node::start(settings, bound, own.clone(), MissingFiles::Bootstrap)).await?;
         let runner = executor.spawn(async move { own.run(std::future::pending::<()>()).await });
         nodes.push(Running { node, runner: Some(runner) });
     }
--- a/agatetrestle/examples/quickstart/scenario.rs
+++ b/agatetrestle/examples/quickstart/scenario.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use agatetrestle::node::peer_link::within;
+use agatetrestle::node::peer_link::with_deadline;
 use agatetrestle_fakes::Client;
 use agatetrestle_fakes::client::Call;
 use agatetrestle_fakes::client::ClientError;
@@ -206,7 +206,7 @@
     ) -> Result<(Reply, SocketAddr), QuickstartError> {
         for _ in 0..TRIES {
             let address = self.addresses[0];
-            match within(PATIENCE, send(Client::new(address))).await {
+            match with_deadline(PATIENCE, send(Client::new(address))).await {
                 Some(Ok(reply)) if reply.status != 503 && reply.json()["reason"] != "in_progress" => {
                     return Ok((reply, address));
                 }
--- a/agatetrestle/src/cli.rs
+++ b/agatetrestle/src/cli.rs
@@ -7,7 +7,7 @@
 use bpaf::construct;
 use bpaf::long;
 
-use crate::node::replicas::Missing;
+use crate::node::replicas::MissingFiles;
 
 /// What the daemon is told on its command line; everything else stands in the settings file.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -45,11 +45,11 @@
     /// What to do where a group's files are missing; both flags together are taken for joining, which
     /// can do no harm.
     #[must_use]
-    pub fn missing(&self) -> Missing {
+    pub fn missing(&self) -> MissingFiles {
         match (self.bootstrap, self.join) {
-            (_, true) => Missing::Join,
-            (true, false) => Missing::Bootstrap,
-            (false, false) => Missing::Refuse,
+            (_, true) => MissingFiles::Join,
+            (true, false) => MissingFiles::Bootstrap,
+            (false, false) => MissingFiles::Refuse,
         }
     }
 
--- a/agatetrestle/src/cli/tests.rs
+++ b/agatetrestle/src/cli/tests.rs
@@ -17,9 +17,9 @@
 #[test]
 fn missing_files_are_refused_unless_a_flag_says_otherwise() {
     let missing = |flags: &[&str]| parse(&[&["--config", "node.yaml"], flags].concat()).unwrap().missing();
-    assert_eq!(missing(&[]), Missing::Refuse);
-    assert_eq!(missing(&["--bootstrap"]), Missing::Bootstrap);
-    assert_eq!(missing(&["--bootstrap", "--join"]), Missing::Join);
+    assert_eq!(missing(&[]), MissingFiles::Refuse);
+    assert_eq!(missing(&["--bootstrap"]), MissingFiles::Bootstrap);
+    assert_eq!(missing(&["--bootstrap", "--join"]), MissingFiles::Join);
 }
 
 #[test]
--- a/agatetrestle/src/cluster/registry.rs
+++ b/agatetrestle/src/cluster/registry.rs
@@ -34,9 +34,9 @@
 use crate::ids::GroupId;
 use crate::ids::NodeId;
 use crate::node::group::Group;
-use crate::node::group::Verdict;
+use crate::node::group::ProposalOutcome;
 use crate::node::links::Links;
-use crate::node::peer_link::within;
+use crate::node::peer_link::with_deadline;
 
 /// Time without a report after which a member counts as failed. Reports come every half second, so two are missing; an
 /// entry that was dropped by mistake is back with its next report.
@@ -118,7 +118,7 @@
         if self.has_only_members(&report) {
             Timer::after(BATCH_DELAY).await;
         }
-        if self.group.ready().await != Verdict::Ready {
+        if self.group.read_barrier().await != ProposalOutcome::Ready {
             return update;
         }
         self.fill(&report, update)
@@ -130,7 +130,7 @@
             let left = deadline.since(self.clock.now());
             let (tx, rx) = oneshot::channel();
             self.waiting.borrow_mut().push(tx);
-            if left.is_zero() || within(left, rx).await.is_none() {
+            if left.is_zero() || with_deadline(left, rx).await.is_none() {
                 return;
             }
         }
@@ -258,7 +258,7 @@
     fn record(&self, report: &Report) {
         let member = &report.introduction.member;
         if member.role != Role::Entry {
-            self.links.learn(member.node, SocketAddr::V4(member.peer));
+            self.links.add_address(member.node, SocketAddr::V4(member.peer));
         }
         let until = self.clock.now() + FAILURE_DETECTION_TIMEOUT;
         let mut seen = self.seen.borrow_mut();
--- a/agatetrestle/src/cluster/repair.rs
+++ b/agatetrestle/src/cluster/repair.rs
@@ -12,7 +12,7 @@
 use crate::cluster::voters::lost;
 use crate::cluster::voters::next_change;
 use crate::node::group::Group;
-use crate::node::group::Verdict;
+use crate::node::group::ProposalOutcome;
 
 /// Time between two checks. A replacement takes three steps and has to be done within seconds.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -44,7 +44,7 @@
             continue;
         };
         let verdict = group.change_replicas(change).await;
-        if verdict == Verdict::Changed {
+        if verdict == ProposalOutcome::Changed {
             info!("Members of a group changed by {change:?} from {replicas:?}; silent were {silent:?}.");
         }
     }
--- a/agatetrestle/src/cluster/service.rs
+++ b/agatetrestle/src/cluster/service.rs
@@ -17,13 +17,13 @@
 use crate::control::command::ControlCommand;
 use crate::control::state::ControlState;
 use crate::node::group::Group;
-use crate::node::group::Verdict;
+use crate::node::group::ProposalOutcome;
 use crate::node::service::GroupService;
 use crate::node::service::ReportService;
 use crate::node::service::Submission;
 use crate::node::service::commit;
-use crate::node::service::outcome;
 use crate::node::service::read;
+use crate::node::service::to_submission;
 use crate::turns::admission::TurnAdmission;
 use crate::turns::clock::LeaderClock;
 use crate::turns::command::Take;
@@ -132,12 +132,12 @@
 
     /// Takes a request from a team's account, which only a leader may that proved itself after it was asked.
     async fn take(&self, take: &Take) -> Submission {
-        match self.group.ready().await {
-            Verdict::Ready => {
+        match self.group.read_barrier().await {
+            ProposalOutcome::Ready => {
                 let (now, term) = (self.clock.now(), self.group.term());
                 Submission::Applied(encode(&self.openings.borrow_mut().take(now, term, take)))
             }
-            verdict => outcome(verdict),
+            verdict => to_submission(verdict),
         }
     }
 }
--- a/agatetrestle/src/cluster/subscriber.rs
+++ b/agatetrestle/src/cluster/subscriber.rs
@@ -36,7 +36,7 @@
 use crate::node::links::Links;
 use crate::node::peer_link::LinkError;
 use crate::node::peer_link::PeerLink;
-use crate::node::peer_link::within;
+use crate::node::peer_link::with_deadline;
 use crate::ports::Freshness;
 use crate::ports::Recorder;
 
@@ -97,7 +97,7 @@
     /// The process's clock.
     pub clock: Clock,
     /// Links by address, since a seed's number is not known.
-    pub by_address: RefCell<BTreeMap<SocketAddrV4, Rc<PeerLink>>>,
+    pub link_to: RefCell<BTreeMap<SocketAddrV4, Rc<PeerLink>>>,
     /// What became of them.
     pub log: ReportLog,
     /// Where their outcomes and times are counted.
@@ -141,7 +141,7 @@
         }
         let contacts = self.contacts();
         let mut asked: FuturesUnordered<_> = contacts.iter().map(|contact| self.ask_on(*contact)).collect();
-        let found = within(SEARCH_TIMEOUT, asked.next()).await.flatten();
+        let found = with_deadline(SEARCH_TIMEOUT, asked.next()).await.flatten();
         if found.is_none() {
             self.log.write(self.clock.now(), self.view.known(), self.view.confirmed_at());
         }
@@ -177,7 +177,7 @@
             Err(_) => return false,
         };
         for (node, address) in &update.control {
-            self.links.learn(*node, SocketAddr::V4(*address));
+            self.links.add_address(*node, SocketAddr::V4(*address));
         }
         let known = self.view.known().members;
         self.view.adopt(sent, update);
@@ -196,7 +196,7 @@
 
     fn learn_members(&self) {
         for member in self.view.members().iter().filter(|member| member.role != Role::Entry) {
-            self.links.learn(member.node, SocketAddr::V4(member.peer));
+            self.links.add_address(member.node, SocketAddr::V4(member.peer));
         }
     }
 
@@ -215,8 +215,8 @@
     }
 
     fn link(&self, contact: SocketAddrV4) -> Rc<PeerLink> {
-        let mut links = self.by_address.borrow_mut();
-        links.entry(contact).or_insert_with(|| self.links.unnamed(SocketAddr::V4(contact))).clone()
+        let mut links = self.link_to.borrow_mut();
+        links.entry(contact).or_insert_with(|| self.links.link_to(SocketAddr::V4(contact))).clone()
     }
 }
 
--- a/agatetrestle/src/cluster/subscriber/tests.rs
+++ b/agatetrestle/src/cluster/subscriber/tests.rs
@@ -52,7 +52,7 @@
         registry: None,
         links: Links::new(NodeId(1), REPORT_TIMEOUT, executor),
         clock: Clock::start(),
-        by_address: RefCell::default(),
+        link_to: RefCell::default(),
         log: ReportLog::default(),
         recorder: Rc::new(Metrics::new().unwrap()),
         notify: smol::channel::bounded(1),
@@ -76,7 +76,7 @@
         contact.0.set(true);
         for _ in 0..SEARCHES {
             // A search ends before the report that it sent is late.
-            if within(REPORT_TIMEOUT / 2, subscriber.round()).await.flatten().is_some() {
+            if with_deadline(REPORT_TIMEOUT / 2, subscriber.round()).await.flatten().is_some() {
                 return;
             }
         }
--- a/agatetrestle/src/deployment/control.rs
+++ b/agatetrestle/src/deployment/control.rs
@@ -35,7 +35,7 @@
 use crate::node::NodeError;
 use crate::node::group::Group;
 use crate::node::peer_server::PeerServer;
-use crate::node::replicas::Missing;
+use crate::node::replicas::MissingFiles;
 use crate::node::router::Router;
 use crate::node::service::GroupService;
 use crate::transport::server::Bounds;
@@ -65,7 +65,7 @@
     });
     let mut server = PeerServer { reports: Some(registry.clone()), ..PeerServer::default() };
     let receiving = group.clone();
-    server.receivers.insert(CONTROL_GROUP, Rc::new(move |message| receiving.receive(message)));
+    server.handlers.insert(CONTROL_GROUP, Rc::new(move |message| receiving.receive(message)));
     server.services.insert(CONTROL_GROUP, desk.clone());
     frame.serve_peers(server);
     let subscriber = frame.subscriber(Rc::new(move || member.clone().into()), Some(registry.clone()));
@@ -88,7 +88,7 @@
     while !left.is_zero() {
         let led = (group.leads(), group.leader());
         // A replica that was just elected leads once a majority has answered it.
-        let settled = led.1.is_some_and(|leader| led.0 || !group.is(leader));
+        let settled = led.1.is_some_and(|leader| led.0 || !group.is_local(leader));
         let pause = if settled { left } else { ELECTION_POLL.min(left) };
         Timer::after(pause).await;
         left = left.saturating_sub(pause);
@@ -199,10 +199,10 @@
         frame.settings.seeds.iter().map(|seed| identity::founding_number(*seed.ip())).collect();
     for seed in &frame.settings.seeds {
         let address = SocketAddr::from((*seed.ip(), port));
-        frame.links.learn(identity::founding_number(*seed.ip()), address);
+        frame.links.add_address(identity::founding_number(*seed.ip()), address);
     }
     let founds = frame.settings.founding && founders.contains(&frame.node);
-    let missing = if founds { Missing::Bootstrap } else { Missing::Join };
+    let missing = if founds { MissingFiles::Bootstrap } else { MissingFiles::Join };
     let replica = opener.open(CONTROL_GROUP, ControlState::default(), &founders, missing).await?;
     replica.driver.detach();
     Ok(replica.group)
--- a/agatetrestle/src/deployment/listing.rs
+++ b/agatetrestle/src/deployment/listing.rs
@@ -26,7 +26,7 @@
 use crate::dispatch::Instance;
 use crate::gateway::wire::WireFormat;
 use crate::node::group::Group;
-use crate::node::peer_link::within;
+use crate::node::peer_link::with_deadline;
 use crate::ports::Recorder;
 use crate::transport::client::Client;
 use crate::transport::client::Reuse;
@@ -140,7 +140,7 @@
         let mut page: Option<Arc<str>> = None;
         for pages in 1..=MOST_PAGES {
             let path = self.wire.instances_path(page.as_deref());
-            let reading = within(PAGE_TIME, get(client, self.settings.address, &path)).await;
+            let reading = with_deadline(PAGE_TIME, get(client, self.settings.address, &path)).await;
             let body = reading.ok_or(ListError::Silent)??;
             let read = self.wire.read_instances(&body);
             let read = read.map_err(|failure| ListError::Broken { reason: failure.to_string() })?;
--- a/agatetrestle/src/deployment/mod.rs
+++ b/agatetrestle/src/deployment/mod.rs
@@ -57,7 +57,7 @@
 use crate::node::links::Links;
 use crate::node::peer_server;
 use crate::node::peer_server::PeerServer;
-use crate::node::replicas::Opener;
+use crate::node::replicas::ReplicaOpener;
 use crate::node::router::RequestTimeouts;
 use crate::transport::server;
 use crate::transport::server::Bounds;
@@ -224,8 +224,8 @@
     }
 
     /// What every replica of this process is opened with.
-    fn opener<'a>(&'a self, storage: &'a Storage, timing: &'a Timing) -> Opener<'a> {
-        Opener {
+    fn opener<'a>(&'a self, storage: &'a Storage, timing: &'a Timing) -> ReplicaOpener<'a> {
+        ReplicaOpener {
             node: self.node,
             storage,
             timing,
@@ -244,7 +244,7 @@
             registry,
             links: self.links.clone(),
             clock: self.clock,
-            by_address: RefCell::default(),
+            link_to: RefCell::default(),
             log: ReportLog::default(),
             recorder: self.metrics.clone(),
             notify: smol::channel::bounded(1),
@@ -272,7 +272,7 @@
 
     /// Serves calls of our own processes.
     fn serve_peers(&self, server: PeerServer) {
-        self.links.set_receivers(server.receivers.clone());
+        self.links.set_handlers(server.handlers.clone());
         let address = self.member().peer;
         let executor = Rc::downgrade(&self.executor);
         let serving = async move {
@@ -343,6 +343,6 @@
 /// Makes the addresses of control that a process found known to its links.
 fn learn_control(links: &Links, view: &View) {
     for (node, address) in view.control() {
-        links.learn(node, SocketAddr::V4(address));
+        links.add_address(node, SocketAddr::V4(address));
     }
 }
--- a/agatetrestle/src/deployment/overview.rs
+++ b/agatetrestle/src/deployment/overview.rs
@@ -44,7 +44,7 @@
     let question = encode(&ControlRequest::Overview);
     let mut answers = Vec::new();
     for address in peer_addresses(settings, settings.process.peer_port) {
-        let link = links.unnamed(SocketAddr::V4(address));
+        let link = links.link_to(SocketAddr::V4(address));
         let answer = match submit_remotely(&link, REQUEST_TIMEOUTS.attempt, CONTROL_GROUP, &question).await {
             Ok(Submission::Applied(bytes)) => match decode(&bytes) {
                 Ok(overview) => return Ok(overview),
--- a/agatetrestle/src/deployment/replicated.rs
+++ b/agatetrestle/src/deployment/replicated.rs
@@ -26,19 +26,19 @@
     }
 
     fn stop(&self) -> LocalBoxFuture<'_, ()> {
-        Box::pin(hand_over(&self.group))
+        Box::pin(transfer_leadership(&self.group))
     }
 }
 
 /// Hands leadership over and waits until another replica leads.
-async fn hand_over<M: StateMachine + 'static>(group: &Group<M>) {
+async fn transfer_leadership<M: StateMachine + 'static>(group: &Group<M>) {
     const POLL: Duration = Duration::from_millis(20);
     if !group.leads() {
         return;
     }
-    group.hand_over();
+    group.transfer_leadership();
     let mut waited = Duration::ZERO;
-    while group.leader().is_some_and(|leader| group.is(leader)) && waited < HAND_OVER {
+    while group.leader().is_some_and(|leader| group.is_local(leader)) && waited < HAND_OVER {
         Timer::after(POLL).await;
         waited += POLL;
     }
--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -44,9 +44,9 @@
 use crate::node::NodeError;
 use crate::node::group::Group;
 use crate::node::peer_server::PeerServer;
-use crate::node::replicas::Found;
-use crate::node::replicas::Missing;
-use crate::node::replicas::Opener;
+use crate::node::replicas::MissingFiles;
+use crate::node::replicas::ReplicaOpener;
+use crate::node::replicas::StoredReplica;
 use crate::node::service::GroupService;
 use crate::node::service::Submission;
 use crate::turns::admission::TurnAdmission;
@@ -133,7 +133,7 @@
             }
             Vec::new()
         };
-        server.receivers.insert(id, Rc::new(receive));
+        server.handlers.insert(id, Rc::new(receive));
         let desk = StoreService { id, held: held.clone(), clock: frame.clock, opened: RefCell::default() };
         server.services.insert(id, Rc::new(desk));
     }
@@ -204,7 +204,7 @@
         BTreeMap::new()
     });
     for (node, address) in &kept {
-        frame.links.learn(*node, SocketAddr::V4(*address));
+        frame.links.add_address(*node, SocketAddr::V4(*address));
     }
     let folder = folder.clone();
     let saving = async move {
@@ -284,16 +284,16 @@
     held.group.set(Some(id));
     // The number lasts before the first file of the replica does and is new with each empty disk. So a founder with its number
     // but without files never acknowledged anything.
-    let missing = if founders.is_some() { Missing::Bootstrap } else { Missing::Join };
+    let missing = if founders.is_some() { MissingFiles::Bootstrap } else { MissingFiles::Join };
     let founders: Vec<NodeId> = founders.into_iter().flatten().collect();
     info!("State group {} is opened by {missing:?}; its founders are {founders:?}.", id.0);
-    let replica = opener.open_found(found, TurnState::with_max_bytes(room), &founders, missing).await?;
+    let replica = opener.open_stored(found, TurnState::with_max_bytes(room), &founders, missing).await?;
     replica.driver.detach();
     Ok((id, replica.group))
 }
 
 /// The files of the group of which this store held a replica before its start.
-async fn held_before(frame: &Frame, opener: &Opener<'_>) -> Result<Option<Found>, NodeError> {
+async fn held_before(frame: &Frame, opener: &ReplicaOpener<'_>) -> Result<Option<StoredReplica>, NodeError> {
     let Some(folder) = &frame.settings.data_folder else {
         return Ok(None);
     };
--- a/agatetrestle/src/deployment/turns.rs
+++ b/agatetrestle/src/deployment/turns.rs
@@ -158,7 +158,9 @@
 async fn ask(router: &Router, command: TurnCommand) -> Result<TurnReply, GroupError> {
     let coded = command.encode(Duration::ZERO);
     let reply = match command {
-        TurnCommand::Begin(_) | TurnCommand::Chain(_) | TurnCommand::Take(_) => router.offer(coded).await?,
+        TurnCommand::Begin(_) | TurnCommand::Chain(_) | TurnCommand::Take(_) => {
+            router.try_submit(coded).await?
+        }
         TurnCommand::Finish(_) => router.submit(coded).await?,
     };
     decode(&reply).map_err(|failure| GroupError::Unknown { reason: failure.to_string().into() })
--- a/agatetrestle/src/gateway/attempt.rs
+++ b/agatetrestle/src/gateway/attempt.rs
@@ -21,7 +21,7 @@
 use crate::gateway::context::RequestContext;
 use crate::gateway::slot::ServerSlot;
 use crate::gateway::wire::ForwardMetadata;
-use crate::node::peer_link::within;
+use crate::node::peer_link::with_deadline;
 use crate::transport::client::Lease;
 use crate::transport::client::Reuse;
 use crate::transport::client::SendError;
@@ -87,7 +87,7 @@
         let wait = ResponseWait { gateway, ctx, sent_at, timeout };
         wait.run(lease.send(request)).await
     } else {
-        within(timeout, lease.send(request)).await.map_or(SendOutcome::TimedOut, SendOutcome::Started)
+        with_deadline(timeout, lease.send(request)).await.map_or(SendOutcome::TimedOut, SendOutcome::Started)
     };
     let response = match outcome {
         SendOutcome::Silent => {
--- a/agatetrestle/src/gateway/body.rs
+++ b/agatetrestle/src/gateway/body.rs
@@ -11,7 +11,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::context::ErrorResponse;
 use crate::gateway::context::FAILOVER_RETRY_AFTER;
-use crate::node::peer_link::within;
+use crate::node::peer_link::with_deadline;
 
 /// Memory charged for a body until its request is handled.
 pub(super) struct BodyPermit<'a> {
@@ -52,7 +52,7 @@
     let mut buffer = BytesMut::new();
     loop {
         let left = deadline.since(gateway.clock.now());
-        let Some(frame) = within(left, body.frame()).await else {
+        let Some(frame) = with_deadline(left, body.frame()).await else {
             return Err(ErrorResponse::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"));
         };
         let Some(frame) = frame else {
--- a/agatetrestle/src/gateway/relay.rs
+++ b/agatetrestle/src/gateway/relay.rs
@@ -26,7 +26,7 @@
 use crate::gateway::slot::ServerSlot;
 use crate::gateway::turn::OpenTurn;
 use crate::gateway::turn::Transcript;
-use crate::node::peer_link::within;
+use crate::node::peer_link::with_deadline;
 use crate::transport::body::AnswerBody;
 use crate::transport::body::Cut;
 use crate::transport::body::Pieces;
@@ -61,7 +61,7 @@
     async fn next(&mut self) -> Result<Option<Bytes>, BodyError> {
         loop {
             let left = self.deadline.since(self.gateway.clock.now());
-            match within(left, self.body.frame()).await {
+            match with_deadline(left, self.body.frame()).await {
                 None => return Err("the time of the answer is up"),
                 Some(Some(Err(_))) => return Err("the server broke off"),
                 Some(Some(Ok(frame))) => {
@@ -274,7 +274,7 @@
             return Ok(());
         };
         let started_at = self.response.gateway.clock.now();
-        let retained = within(self.response.deadline.since(started_at), turn.retain(transcript)).await;
+        let retained = with_deadline(self.response.deadline.since(started_at), turn.retain(transcript)).await;
         self.response.log_entry.finish_time = self.response.gateway.clock.now().since(started_at);
         match retained {
             Some(Ok(())) => {
--- a/agatetrestle/src/gateway/reserve.rs
+++ b/agatetrestle/src/gateway/reserve.rs
@@ -11,7 +11,7 @@
 use crate::gateway::context::FAILOVER_RETRY_AFTER;
 use crate::gateway::context::RequestContext;
 use crate::gateway::turn::OpenTurn;
-use crate::node::peer_link::within;
+use crate::node::peer_link::with_deadline;
 use crate::ports::GroupError;
 use crate::turns::command::AdmissionParams;
 use crate::turns::command::Begin;
@@ -40,7 +40,7 @@
         begins: false,
     });
     let left = ctx.deadline.since(gateway.clock.now());
-    let reply = within(left, gateway.turns.commit(command)).await;
+    let reply = with_deadline(left, gateway.turns.commit(command)).await;
     match reply.unwrap_or_else(|| Err(GroupError::NotProposed { reason: "no account answers".into() })) {
         Ok(TurnReply::Taken) => Ok(()),
         Ok(reply) => Err(error_response(&reply)),
--- a/agatetrestle/src/main.rs
+++ b/agatetrestle/src/main.rs
@@ -9,7 +9,7 @@
 use agatetrestle::node::Node;
 use agatetrestle::node::NodeError;
 use agatetrestle::node::listeners::Listeners;
-use agatetrestle::node::replicas::Missing;
+use agatetrestle::node::replicas::MissingFiles;
 use agatetrestle_config::Settings;
 use async_signal::Signal;
 use async_signal::Signals;
@@ -46,7 +46,7 @@
 async fn run(
     settings: Settings,
     executor: Rc<LocalExecutor<'static>>,
-    missing: Missing,
+    missing: MissingFiles,
 ) -> Result<ExitCode, NodeError> {
     let listeners = Listeners::bind(&settings.listen).await?;
     let mut signals = match Signals::new([Signal::Term, Signal::Int]) {
--- a/agatetrestle/src/node/assembly.rs
+++ b/agatetrestle/src/node/assembly.rs
@@ -26,13 +26,13 @@
 use crate::metrics::Metrics;
 use crate::node::Replicas;
 use crate::node::control_port::ControlPort;
-use crate::node::heartbeats::Heartbeats;
+use crate::node::heartbeats::HeartbeatSender;
 use crate::node::ledger_port::LedgerPort;
 use crate::node::links::Links;
 use crate::node::listings::BackendListing;
-use crate::node::orders::Orders;
+use crate::node::order_loop::OrderLoop;
 use crate::node::peer_server::PeerServer;
-use crate::node::registry::Registry;
+use crate::node::registry::MemberRegistry;
 use crate::node::replicas;
 use crate::node::router::RequestTimeouts;
 use crate::node::router::Router;
@@ -63,8 +63,8 @@
     pub(super) calls: Rc<Dispatcher>,
     pub(super) control: Rc<ControlPort>,
     pub(super) ledger: Rc<LedgerPort>,
-    registry: Option<Rc<Registry>>,
-    pub(super) heartbeats: Rc<Heartbeats>,
+    registry: Option<Rc<MemberRegistry>>,
+    pub(super) heartbeats: Rc<HeartbeatSender>,
 }
 
 impl Assembly {
@@ -96,9 +96,9 @@
         let calls = dispatcher(&scheduler, timing.peer_call, clock);
         let registry = replicas.control.clone().map(|group| {
             let lease = timing.configuration_lease;
-            Rc::new(Registry::new(group, links.clone(), clock, incarnation, timing.heartbeat, lease))
+            Rc::new(MemberRegistry::new(group, links.clone(), clock, incarnation, timing.heartbeat, lease))
         });
-        let heartbeats = Rc::new(Heartbeats {
+        let heartbeats = Rc::new(HeartbeatSender {
             identity: identity(settings, addresses, incarnation),
             interval: timing.heartbeat,
             replicas: replicas::holders(settings, CONTROL_GROUP),
@@ -144,17 +144,17 @@
         }
     }
 
-    pub(super) fn orders(&self, replicas: &Replicas) -> Option<Orders> {
+    pub(super) fn orders(&self, replicas: &Replicas) -> Option<OrderLoop> {
         let timing = &self.settings.timing;
         let engines = Rc::new(HttpEngineAdmin { timeout: timing.peer_call });
         let wait_out = timing.election_timeout + timing.clock_drift;
         let group = replicas.control.clone()?;
-        Some(Orders::new(self.node, self.clock, group, self.control.clone(), engines, wait_out))
+        Some(OrderLoop::new(self.node, self.clock, group, self.control.clone(), engines, wait_out))
     }
 
     pub(super) fn peer_server(&self, replicas: &Replicas) -> Rc<PeerServer> {
         let mut server = PeerServer { registry: self.registry.clone(), ..PeerServer::default() };
-        server.receivers = replicas.receivers();
+        server.handlers = replicas.handlers();
         let services =
             [(CONTROL_GROUP, replicas.control_service()), (FIRST_STATE_GROUP, replicas.state_service())];
         let held = services.into_iter().filter_map(|(id, service): (GroupId, _)| Some((id, service?)));
--- a/agatetrestle/src/node/group.rs
+++ b/agatetrestle/src/node/group.rs
@@ -2,7 +2,7 @@
 //! out what it asks for. Writes go to a blocking thread, many to one sync.
 
 mod apply;
-mod coding;
+mod encoding;
 mod install;
 mod reading;
 mod refusals;
@@ -45,7 +45,7 @@
 use crate::ids::GroupId;
 use crate::node::group::apply::Backlog;
 use crate::node::group::apply::Due;
-use crate::node::group::coding::Coder;
+use crate::node::group::encoding::Coder;
 use crate::node::group::install::HeldBack;
 use crate::node::group::refusals::Refusals;
 use crate::node::group::writes::Done;
@@ -58,7 +58,7 @@
 
 /// What became of a proposal or read.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum ProposalOutcome {
     /// The command was applied; this is the coded reply.
     Applied(Vec<u8>),
     /// The state machine may be read now.
@@ -89,7 +89,7 @@
     clock: Clock,
     replica: RefCell<Replica>,
     machine: RefCell<M>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Verdict>>>,
+    waiting: RefCell<HashMap<Ticket, oneshot::Sender<ProposalOutcome>>>,
     next_ticket: Cell<u64>,
     jobs: Sender<Job>,
     outbox: Outbox,
@@ -284,32 +284,32 @@
     }
 
     /// Commits a command and returns its coded reply.
-    pub async fn submit(&self, payload: Arc<[u8]>) -> Verdict {
+    pub async fn submit(&self, payload: Arc<[u8]>) -> ProposalOutcome {
         self.ask(|ticket| Input::Propose { ticket, payload }).await
     }
 
     /// Waits until the state machine may be read as of now; only the leader's may.
-    pub async fn ready(&self) -> Verdict {
+    pub async fn read_barrier(&self) -> ProposalOutcome {
         self.ask(Input::Read).await
     }
 
     /// Changes who takes part.
-    pub async fn change_replicas(&self, change: ReplicaChange) -> Verdict {
+    pub async fn change_replicas(&self, change: ReplicaChange) -> ProposalOutcome {
         self.ask(|ticket| Input::ChangeReplicas { ticket, change }).await
     }
 
     /// Hands leadership to another replica before a planned stop.
-    pub fn hand_over(&self) {
+    pub fn transfer_leadership(&self) {
         self.feed(Input::HandOver);
     }
 
-    async fn ask(&self, input: impl FnOnce(Ticket) -> Input) -> Verdict {
+    async fn ask(&self, input: impl FnOnce(Ticket) -> Input) -> ProposalOutcome {
         let ticket = Ticket(self.next_ticket.get());
         self.next_ticket.set(ticket.0 + 1);
         let (tx, rx) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, tx);
         self.feed(input(ticket));
-        rx.await.unwrap_or(Verdict::Unknown)
+        rx.await.unwrap_or(ProposalOutcome::Unknown)
     }
 
     fn step(&self, input: Input) -> Vec<Output> {
@@ -348,9 +348,9 @@
                 if reason == Rejection::Busy {
                     self.refusals.note(self.clock.now());
                 }
-                self.answer(ticket, Verdict::Rejected(reason));
+                self.answer(ticket, ProposalOutcome::Rejected(reason));
             }
-            Output::Unknown(ticket) => self.answer(ticket, Verdict::Unknown),
+            Output::Unknown(ticket) => self.answer(ticket, ProposalOutcome::Unknown),
             Output::Role { term, leader } => {
                 let leader = leader.map_or(0, |node| node.0);
                 info!("Group {} is in term {term} with leader {leader}.", self.id.0);
@@ -364,7 +364,7 @@
         }
     }
 
-    fn answer(&self, ticket: Ticket, verdict: Verdict) {
+    fn answer(&self, ticket: Ticket, verdict: ProposalOutcome) {
         if let Some(tx) = self.waiting.borrow_mut().remove(&ticket) {
             // A caller that gave up has dropped its end, which is no failure.
             let _ = tx.send(verdict);
--- a/agatetrestle/src/node/group/apply.rs
+++ b/agatetrestle/src/node/group/apply.rs
@@ -18,7 +18,7 @@
 use crate::agreement::Ticket;
 use crate::agreement::message::Position;
 use crate::node::group::Group;
-use crate::node::group::Verdict;
+use crate::node::group::ProposalOutcome;
 
 /// Commands applied before others get the processor: a millisecond or two of work, far below any interval of the
 /// group.
@@ -84,7 +84,7 @@
                 Due::Read(ticket) => Some(ticket),
             };
             if let Some(ticket) = ticket {
-                self.answer(ticket, Verdict::Unknown);
+                self.answer(ticket, ProposalOutcome::Unknown);
             }
         }
     }
@@ -105,11 +105,11 @@
                 Some(Due::Apply { position, payload, ticket }) => {
                     self.apply_or_hold(position, payload, ticket);
                 }
-                Some(Due::Read(ticket)) => self.answer(ticket, Verdict::Ready),
+                Some(Due::Read(ticket)) => self.answer(ticket, ProposalOutcome::Ready),
                 Some(Due::Replicas { ticket, replicas }) => {
                     self.replicas.replace(replicas);
                     if let Some(ticket) = ticket {
-                        self.answer(ticket, Verdict::Changed);
+                        self.answer(ticket, ProposalOutcome::Changed);
                     }
                 }
                 None => return,
@@ -121,7 +121,7 @@
         match ticket {
             Some(ticket) => {
                 let reply = self.machine.borrow_mut().apply(position, payload);
-                self.answer(ticket, Verdict::Applied(reply));
+                self.answer(ticket, ProposalOutcome::Applied(reply));
             }
             None => self.machine.borrow_mut().follow(position, payload),
         }
--- a/agatetrestle/src/node/group/reading.rs
+++ b/agatetrestle/src/node/group/reading.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether a node is the one that holds this replica.
-    pub fn is(&self, node: NodeId) -> bool {
+    pub fn is_local(&self, node: NodeId) -> bool {
         self.replica.borrow().node() == node
     }
 
--- a/agatetrestle/src/node/group/tests.rs
+++ b/agatetrestle/src/node/group/tests.rs
@@ -38,8 +38,8 @@
 use crate::ids::NodeId;
 use crate::node::group::Group;
 use crate::node::group::GroupParts;
+use crate::node::group::ProposalOutcome;
 use crate::node::group::Reopen;
-use crate::node::group::Verdict;
 use crate::node::group::apply::Due;
 use crate::node::group::refusals::Refusals;
 
@@ -179,7 +179,7 @@
 
 async fn commit<M: StateMachine + 'static>(group: &Group<M>, version: u64) {
     for _ in 0..TRIES {
-        if let Verdict::Applied(_) = group.submit(change(version)).await {
+        if let ProposalOutcome::Applied(_) = group.submit(change(version)).await {
             return;
         }
         Timer::after(TICK).await;
@@ -197,8 +197,11 @@
         commit(&group, 0).await;
         full.store(true, Ordering::Relaxed);
         let during = group.submit(change(1)).await;
-        assert_eq!(during, Verdict::Unknown, "the command was in the log when the write failed");
-        assert!(matches!(group.submit(change(1)).await, Verdict::Rejected(_)), "nothing is taken meanwhile");
+        assert_eq!(during, ProposalOutcome::Unknown, "the command was in the log when the write failed");
+        assert!(
+            matches!(group.submit(change(1)).await, ProposalOutcome::Rejected(_)),
+            "nothing is taken meanwhile"
+        );
         full.store(false, Ordering::Relaxed);
         commit(&group, 1).await;
         let version = group.machine(|state| state.configuration().documents["vrsta"].version);
@@ -226,7 +229,7 @@
         group.backlog.push(Due::Replicas { ticket: Some(Ticket(903)), replicas: Replicas::default() });
         group.drop_due();
         for answer in answers {
-            assert_eq!(answer.now_or_never(), Some(Ok(Verdict::Unknown)));
+            assert_eq!(answer.now_or_never(), Some(Ok(ProposalOutcome::Unknown)));
         }
     }));
     // What stays behind harms no other test.
--- a/agatetrestle/src/node/heartbeats.rs
+++ b/agatetrestle/src/node/heartbeats.rs
@@ -30,7 +30,7 @@
 use crate::node::links::Links;
 use crate::node::peer_link::LinkError;
 use crate::node::peer_link::PeerLink;
-use crate::node::registry::Registry;
+use crate::node::registry::MemberRegistry;
 use crate::node::wire_members::read_digest;
 use crate::node::wire_members::write_heartbeat;
 use crate::ports::Control;
@@ -39,7 +39,7 @@
 use crate::scheduler::event::Event;
 
 /// This node's place among the members.
-pub struct Heartbeats {
+pub struct HeartbeatSender {
     /// What every heartbeat says; revision, stopping and signs are filled in when it is sent.
     pub identity: Heartbeat,
     /// Time between two heartbeats.
@@ -49,7 +49,7 @@
     /// The ways to all nodes.
     pub links: Rc<Links>,
     /// The control replica here, if any.
-    pub registry: Option<Rc<Registry>>,
+    pub registry: Option<Rc<MemberRegistry>>,
     /// What is in force here.
     pub control: Rc<ControlPort>,
     /// Told of new configurations and leaving signs.
@@ -62,7 +62,7 @@
     pub clock: Clock,
 }
 
-impl Heartbeats {
+impl HeartbeatSender {
     /// Sends heartbeats until the task is dropped.
     pub async fn run(self: Rc<Self>) {
         loop {
@@ -153,7 +153,7 @@
     fn learn_addresses(&self, digest: &Digest) {
         for member in &digest.members {
             if let Ok(address) = member.beat.peer_address.parse() {
-                self.links.learn(member.beat.node, address);
+                self.links.add_address(member.beat.node, address);
             }
         }
     }
@@ -231,7 +231,7 @@
     .await
 }
 
-impl Members for Heartbeats {
+impl Members for HeartbeatSender {
     fn members(&self) -> Vec<MemberView> {
         self.roster.borrow().views()
     }
--- a/agatetrestle/src/node/links.rs
+++ b/agatetrestle/src/node/links.rs
@@ -9,9 +9,9 @@
 use smol::LocalExecutor;
 
 use crate::ids::NodeId;
-use crate::node::peer_link::Inbound;
+use crate::node::peer_link::MessageHandler;
+use crate::node::peer_link::MessageHandlers;
 use crate::node::peer_link::PeerLink;
-use crate::node::peer_link::Receivers;
 
 /// One link to each other node.
 pub struct Links {
@@ -19,7 +19,7 @@
     deadline: Duration,
     executor: Rc<LocalExecutor<'static>>,
     by_node: RefCell<BTreeMap<NodeId, Rc<PeerLink>>>,
-    receivers: Rc<RefCell<Receivers>>,
+    handlers: Rc<RefCell<MessageHandlers>>,
 }
 
 impl Links {
@@ -31,39 +31,39 @@
             deadline,
             executor: executor.clone(),
             by_node: RefCell::default(),
-            receivers: Rc::default(),
+            handlers: Rc::default(),
         })
     }
 
     /// A link by address alone, for a peer whose number is not known yet; it carries calls but no messages of
     /// a group.
     #[must_use]
-    pub fn unnamed(&self, address: SocketAddr) -> Rc<PeerLink> {
+    pub fn link_to(&self, address: SocketAddr) -> Rc<PeerLink> {
         PeerLink::new(address, self.deadline, self.executor.clone(), self.inbound())
     }
 
     /// Sets who takes in what other nodes answer at once.
-    pub fn set_receivers(&self, receivers: Receivers) {
-        self.receivers.replace(receivers);
+    pub fn set_handlers(&self, handlers: MessageHandlers) {
+        self.handlers.replace(handlers);
     }
 
-    fn inbound(&self) -> Inbound {
-        let receivers = self.receivers.clone();
+    fn inbound(&self) -> MessageHandler {
+        let handlers = self.handlers.clone();
         Rc::new(move |message| {
-            let receive = receivers.borrow().get(&message.group).cloned();
+            let receive = handlers.borrow().get(&message.group).cloned();
             receive.map_or_else(Vec::new, |receive| receive(message))
         })
     }
 
     /// Takes in the address that a node tells of itself. The one in the settings goes first, since they may
     /// name another way to the node; a replaced VM is reached by the one it tells.
-    pub fn learn(&self, node: NodeId, address: SocketAddr) {
+    pub fn add_address(&self, node: NodeId, address: SocketAddr) {
         if node == self.node {
             return;
         }
         let mut links = self.by_node.borrow_mut();
         if let Some(link) = links.get(&node) {
-            link.learn(address);
+            link.set_fallback(address);
             return;
         }
         let link = PeerLink::new(address, self.deadline, self.executor.clone(), self.inbound());
--- a/agatetrestle/src/node/listings.rs
+++ b/agatetrestle/src/node/listings.rs
@@ -14,7 +14,7 @@
 use crate::ids::GroupId;
 use crate::node::control_port::ControlPort;
 use crate::node::group::Group;
-use crate::node::group::Verdict;
+use crate::node::group::ProposalOutcome;
 use crate::ports::BackendView;
 use crate::ports::Backends;
 use crate::ports::ChangeError;
@@ -25,27 +25,27 @@
 use crate::scheduler::Scheduler;
 
 /// A group of which only the listing matters here.
-pub trait Viewed {
+pub trait ListedGroup {
     /// The group as operators see it.
     fn view(&self) -> GroupView;
 
     /// Changes who takes part.
-    fn change(&self, change: ReplicaChange) -> LocalBoxFuture<'_, Verdict>;
+    fn change(&self, change: ReplicaChange) -> LocalBoxFuture<'_, ProposalOutcome>;
 }
 
-impl<M: StateMachine + 'static> Viewed for Group<M> {
+impl<M: StateMachine + 'static> ListedGroup for Group<M> {
     fn view(&self) -> GroupView {
         Group::view(self)
     }
 
-    fn change(&self, change: ReplicaChange) -> LocalBoxFuture<'_, Verdict> {
+    fn change(&self, change: ReplicaChange) -> LocalBoxFuture<'_, ProposalOutcome> {
         Box::pin(self.change_replicas(change))
     }
 }
 
 /// The groups of which this node holds a replica.
 #[derive(Default)]
-pub struct GroupListing(pub Vec<Rc<dyn Viewed>>);
+pub struct GroupListing(pub Vec<Rc<dyn ListedGroup>>);
 
 impl Groups for GroupListing {
     fn groups(&self) -> Vec<GroupView> {
@@ -61,13 +61,17 @@
     }
 }
 
-fn outcome(verdict: &Verdict) -> Result<(), ChangeError> {
+fn outcome(verdict: &ProposalOutcome) -> Result<(), ChangeError> {
     match verdict {
-        Verdict::Changed => Ok(()),
-        Verdict::Rejected(Rejection::NotLeader(leader)) => Err(ChangeError::NotLeader { leader: *leader }),
-        Verdict::Rejected(Rejection::Busy | Rejection::ChangePending) => Err(ChangeError::Pending),
-        Verdict::Rejected(Rejection::InvalidChange) => Err(ChangeError::Invalid),
-        Verdict::Applied(_) | Verdict::Ready | Verdict::Unknown => Err(ChangeError::Undecided),
+        ProposalOutcome::Changed => Ok(()),
+        ProposalOutcome::Rejected(Rejection::NotLeader(leader)) => {
+            Err(ChangeError::NotLeader { leader: *leader })
+        }
+        ProposalOutcome::Rejected(Rejection::Busy | Rejection::ChangePending) => Err(ChangeError::Pending),
+        ProposalOutcome::Rejected(Rejection::InvalidChange) => Err(ChangeError::Invalid),
+        ProposalOutcome::Applied(_) | ProposalOutcome::Ready | ProposalOutcome::Unknown => {
+            Err(ChangeError::Undecided)
+        }
     }
 }
 
--- a/agatetrestle/src/node/mod.rs
+++ b/agatetrestle/src/node/mod.rs
@@ -9,7 +9,7 @@
 pub mod links;
 pub mod listeners;
 pub mod listings;
-mod orders;
+mod order_loop;
 pub mod peer_link;
 pub mod peer_server;
 pub mod registry;
@@ -50,14 +50,14 @@
 use crate::node::error::MetricsSnafu;
 use crate::node::error::OpenHistorySnafu;
 use crate::node::group::Group;
-use crate::node::heartbeats::Heartbeats;
+use crate::node::heartbeats::HeartbeatSender;
 use crate::node::links::Links;
 use crate::node::listeners::Listeners;
 use crate::node::listings::GroupListing;
-use crate::node::peer_link::Receivers;
-use crate::node::replicas::Missing;
-use crate::node::replicas::Opener;
-use crate::node::service::ControlService;
+use crate::node::peer_link::MessageHandlers;
+use crate::node::replicas::MissingFiles;
+use crate::node::replicas::ReplicaOpener;
+use crate::node::service::ControlGroupService;
 use crate::node::service::GroupService;
 use crate::node::service::LedgerService;
 use crate::operator;
@@ -78,7 +78,7 @@
     addresses: Listen,
     stopping: Rc<Cell<bool>>,
     entry: Rc<ApiServer>,
-    heartbeats: Rc<Heartbeats>,
+    heartbeats: Rc<HeartbeatSender>,
     control: Option<Rc<Group<ControlState>>>,
     state: Option<Rc<Group<LedgerState>>>,
     groups: Rc<dyn Groups>,
@@ -103,15 +103,15 @@
         settings: Settings,
         listeners: Listeners,
         executor: Rc<LocalExecutor<'static>>,
-        missing: Missing,
+        missing: MissingFiles,
     ) -> Result<Rc<Self>, NodeError> {
         let clock = Clock::start();
         let addresses = listeners.addresses()?;
         let links = Links::new(NodeId(settings.node.id), settings.timing.peer_call, &executor);
         for peer in &settings.peers {
-            links.learn(NodeId(peer.id), peer.address);
+            links.add_address(NodeId(peer.id), peer.address);
         }
-        let opener = Opener {
+        let opener = ReplicaOpener {
             node: NodeId(settings.node.id),
             storage: &settings.storage,
             timing: &settings.timing,
@@ -120,7 +120,7 @@
             executor: &executor,
         };
         let mut replicas = Replicas::open(&opener, &settings, missing).await?;
-        links.set_receivers(replicas.receivers());
+        links.set_handlers(replicas.handlers());
         let metrics = Rc::new(Metrics::new().context(MetricsSnafu)?);
         let assembly = Assembly::new(&settings, &addresses, clock, &links, &replicas, &metrics);
         metrics.watch(assembly.control.clone());
@@ -201,7 +201,7 @@
         self.stopping.set(true);
         self.heartbeats.beat_once().await;
         let finished = self.drain().await;
-        self.hand_over().await;
+        self.transfer_leadership().await;
         self.kill().await;
         finished
     }
@@ -219,13 +219,13 @@
         true
     }
 
-    async fn hand_over(&self) {
+    async fn transfer_leadership(&self) {
         let started = self.entry.clock.now();
         if let Some(group) = &self.control {
-            group.hand_over();
+            group.transfer_leadership();
         }
         if let Some(group) = &self.state {
-            group.hand_over();
+            group.transfer_leadership();
         }
         while self.leads_anything() && self.entry.clock.now().since(started) < HAND_OVER_WITHIN {
             Timer::after(STOP_POLL).await;
@@ -248,7 +248,11 @@
 
 impl Replicas {
     /// Opens the replicas that the settings give this node.
-    async fn open(opener: &Opener<'_>, settings: &Settings, missing: Missing) -> Result<Self, NodeError> {
+    async fn open(
+        opener: &ReplicaOpener<'_>,
+        settings: &Settings,
+        missing: MissingFiles,
+    ) -> Result<Self, NodeError> {
         let mut replicas = Self { control: None, state: None, tasks: Vec::new() };
         let holders = replicas::holders(settings, CONTROL_GROUP);
         if holders.contains(&opener.node) {
@@ -277,20 +281,20 @@
         listing
     }
 
-    fn receivers(&self) -> Receivers {
-        let mut receivers = Receivers::new();
+    fn handlers(&self) -> MessageHandlers {
+        let mut handlers = MessageHandlers::new();
         if let Some(group) = self.control.clone() {
-            receivers.insert(CONTROL_GROUP, Rc::new(move |message| group.receive(message)));
+            handlers.insert(CONTROL_GROUP, Rc::new(move |message| group.receive(message)));
         }
         if let Some(group) = self.state.clone() {
-            receivers.insert(FIRST_STATE_GROUP, Rc::new(move |message| group.receive(message)));
+            handlers.insert(FIRST_STATE_GROUP, Rc::new(move |message| group.receive(message)));
         }
-        receivers
+        handlers
     }
 
     fn control_service(&self) -> Option<Rc<dyn GroupService>> {
         let group = self.control.clone()?;
-        Some(Rc::new(ControlService(group)))
+        Some(Rc::new(ControlGroupService(group)))
     }
 
     fn state_service(&self) -> Option<Rc<dyn GroupService>> {
--- a/agatetrestle/src/node/orders.rs
+++ b/agatetrestle/src/node/order_loop.rs
@@ -37,7 +37,7 @@
 const MANDATE: Duration = Duration::from_millis(100);
 
 /// Gives orders while this node leads the control group.
-pub struct Orders {
+pub struct OrderLoop {
     node: NodeId,
     clock: Clock,
     group: Rc<Group<ControlState>>,
@@ -50,8 +50,8 @@
     asked: Cell<usize>,
 }
 
-impl Orders {
-    /// Orders without a mandate; `wait_out` is an old leader's longest lease plus the clock drift.
+impl OrderLoop {
+    /// OrderLoop without a mandate; `wait_out` is an old leader's longest lease plus the clock drift.
     pub fn new(
         node: NodeId,
         clock: Clock,
--- a/agatetrestle/src/node/peer_link.rs
+++ b/agatetrestle/src/node/peer_link.rs
@@ -85,7 +85,7 @@
 impl LinkError {
     /// Whether the peer can't have seen the call.
     #[must_use]
-    pub fn unsent(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect { .. } | Self::ConnectTimeout)
     }
 
@@ -100,7 +100,7 @@
 }
 
 /// Bounds a future by a deadline.
-pub async fn within<F: Future>(deadline: Duration, future: F) -> Option<F::Output> {
+pub async fn with_deadline<F: Future>(deadline: Duration, future: F) -> Option<F::Output> {
     let future = std::pin::pin!(future);
     match select(future, Timer::after(deadline)).await {
         Either::Left((output, _)) => Some(output),
@@ -157,7 +157,7 @@
         call: impl Future<Output = Result<T, capnp::Error>>,
     ) -> Result<T, LinkError> {
         let before = on.answers.get();
-        let error = match within(deadline, call).await {
+        let error = match with_deadline(deadline, call).await {
             Some(Ok(answer)) => {
                 on.answers.set(on.answers.get() + 1);
                 return Ok(answer);
@@ -202,7 +202,7 @@
 /// The way to one peer.
 pub struct PeerLink {
     slot: Rc<Slot>,
-    learnt: Cell<Option<SocketAddr>>,
+    fallback: Cell<Option<SocketAddr>>,
     deadline: Duration,
     executor: Rc<LocalExecutor<'static>>,
     generation: Cell<u64>,
@@ -212,15 +212,15 @@
     failed: Cell<(u64, io::ErrorKind)>,
     outbox: Sender<Message>,
     /// Takes in what the peer answers at once.
-    inbound: Inbound,
+    inbound: MessageHandler,
     delivery: RefCell<Option<Task<()>>>,
 }
 
 /// Takes in a message from another node, and returns what is sent to it next.
-pub type Inbound = Rc<dyn Fn(Message) -> Vec<Message>>;
+pub type MessageHandler = Rc<dyn Fn(Message) -> Vec<Message>>;
 
 /// Who takes in the messages of each group.
-pub type Receivers = BTreeMap<GroupId, Inbound>;
+pub type MessageHandlers = BTreeMap<GroupId, MessageHandler>;
 
 impl PeerLink {
     /// A link that connects on first use. `deadline` bounds connecting and each call.
@@ -229,12 +229,12 @@
         address: SocketAddr,
         deadline: Duration,
         executor: Rc<LocalExecutor<'static>>,
-        inbound: Inbound,
+        inbound: MessageHandler,
     ) -> Rc<Self> {
         let (outbox, inbox) = smol::channel::bounded(QUEUE);
         let link = Rc::new(Self {
             slot: Rc::new(Slot { address, connection: RefCell::default() }),
-            learnt: Cell::new(None),
+            fallback: Cell::new(None),
             deadline,
             executor,
             generation: Cell::new(0),
@@ -251,9 +251,9 @@
     }
 
     /// Takes in a further address, tried where the first can't be connected to.
-    pub fn learn(&self, address: SocketAddr) {
+    pub fn set_fallback(&self, address: SocketAddr) {
         if address != self.slot.address {
-            self.learnt.set(Some(address));
+            self.fallback.set(Some(address));
         }
     }
 
@@ -269,7 +269,7 @@
     ///
     /// # Errors
     ///
-    /// Fails without an answer; [`LinkError::unsent`] tells whether the peer can have seen the call.
+    /// Fails without an answer; [`LinkError::is_unsent`] tells whether the peer can have seen the call.
     pub async fn call<T, F>(&self, call: impl FnOnce(&peer::Client) -> F) -> Result<T, LinkError>
     where
         F: Future<Output = Result<T, capnp::Error>> + 'static,
@@ -320,14 +320,14 @@
     }
 
     async fn connect_anywhere(&self) -> Result<TcpStream, LinkError> {
-        match (self.connect(self.slot.address).await, self.learnt.get()) {
-            (Err(_), Some(learnt)) => self.connect(learnt).await,
+        match (self.connect(self.slot.address).await, self.fallback.get()) {
+            (Err(_), Some(fallback)) => self.connect(fallback).await,
             (outcome, _) => outcome,
         }
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<TcpStream, LinkError> {
-        let connecting = within(self.deadline.min(CONNECT), TcpStream::connect(address)).await;
+        let connecting = with_deadline(self.deadline.min(CONNECT), TcpStream::connect(address)).await;
         let stream = connecting.ok_or(LinkError::ConnectTimeout)?.context(ConnectSnafu)?;
         stream.set_nodelay(true).context(ConnectSnafu)?;
         Ok(stream)
--- a/agatetrestle/src/node/peer_link/tests.rs
+++ b/agatetrestle/src/node/peer_link/tests.rs
@@ -53,7 +53,7 @@
         let mut server = PeerServer::default();
         server.services.insert(GROUP, Rc::new(Choosy(Cell::new(0))));
         executor.spawn(peer_server::serve(Rc::new(server), listener, Rc::downgrade(&executor))).detach();
-        let link = Links::new(NodeId(1), EVER, &executor).unnamed(address);
+        let link = Links::new(NodeId(1), EVER, &executor).link_to(address);
         assert!(submit_remotely(&link, EVER, GROUP, b"first").await.is_ok());
         let late = submit_remotely(&link, SOON, GROUP, NEVER_ANSWERED);
         let answered = async {
@@ -84,11 +84,12 @@
         let mut server = PeerServer::default();
         server.services.insert(GROUP, Rc::new(Choosy(Cell::new(0))));
         executor.spawn(peer_server::serve(Rc::new(server), listener, Rc::downgrade(&executor))).detach();
-        let link = Links::new(NodeId(1), EVER, &executor).unnamed(forwarder.address);
+        let link = Links::new(NodeId(1), EVER, &executor).link_to(forwarder.address);
         assert!(submit_remotely(&link, EVER, GROUP, b"first").await.is_ok());
         forwarder.forget();
         let deadline = SOON * 2;
-        let callers = (0..CALLERS).map(|_| within(SOON, submit_remotely(&link, deadline, GROUP, b"next")));
+        let callers =
+            (0..CALLERS).map(|_| with_deadline(SOON, submit_remotely(&link, deadline, GROUP, b"next")));
         for caller in callers {
             if caller.await.is_some_and(|outcome| outcome.is_ok()) {
                 return;
@@ -107,7 +108,7 @@
         let mut server = PeerServer::default();
         server.services.insert(GROUP, Rc::new(Choosy(Cell::new(0))));
         executor.spawn(peer_server::serve(Rc::new(server), listener, Rc::downgrade(&executor))).detach();
-        let link = Links::new(NodeId(1), EVER, &executor).unnamed(forwarder.address);
+        let link = Links::new(NodeId(1), EVER, &executor).link_to(forwarder.address);
         let calls = (0..CALLERS).map(|_| submit_remotely(&link, EVER, GROUP, b"next"));
         let mut calls: FuturesUnordered<_> = calls.collect();
         assert!(calls.next().await.is_some_and(|outcome| outcome.is_ok()));
@@ -125,10 +126,10 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         drop(listener);
-        let link = Links::new(NodeId(1), EVER, &executor).unnamed(address);
+        let link = Links::new(NodeId(1), EVER, &executor).link_to(address);
         let calls = (0..CALLERS).map(|_| submit_remotely(&link, EVER, GROUP, b"next"));
         for outcome in futures::future::join_all(calls).await {
-            assert!(outcome.is_err_and(|failure| failure.unsent()));
+            assert!(outcome.is_err_and(|failure| failure.is_unsent()));
         }
         assert_eq!(link.failed.get().0, 1);
     }));
--- a/agatetrestle/src/node/peer_server.rs
+++ b/agatetrestle/src/node/peer_server.rs
@@ -14,8 +14,8 @@
 use smol::net::TcpStream;
 
 use crate::ids::GroupId;
-use crate::node::peer_link::Receivers;
-use crate::node::registry::Registry;
+use crate::node::peer_link::MessageHandlers;
+use crate::node::registry::MemberRegistry;
 use crate::node::service::GroupService;
 use crate::node::service::ReportService;
 use crate::node::service::Submission;
@@ -35,11 +35,11 @@
 #[derive(Default)]
 pub struct PeerServer {
     /// Takes messages of a group.
-    pub receivers: Receivers,
+    pub handlers: MessageHandlers,
     /// Takes requests to a group.
     pub services: BTreeMap<GroupId, Rc<dyn GroupService>>,
     /// Answers heartbeats, where this node is a control replica.
-    pub registry: Option<Rc<Registry>>,
+    pub registry: Option<Rc<MemberRegistry>>,
     /// Answers reports, where this node is a control replica of a deployment that finds itself.
     pub reports: Option<Rc<dyn ReportService>>,
 }
@@ -57,7 +57,7 @@
         for message in params.get()?.get_messages()? {
             let message =
                 read_message(message).map_err(|failure| capnp::Error::failed(failure.to_string()))?;
-            match self.0.receivers.get(&message.group) {
+            match self.0.handlers.get(&message.group) {
                 Some(receive) => replies.extend(receive(message)),
                 None => debug!("A message for group {}, which is not here, was dropped.", message.group.0),
             }
--- a/agatetrestle/src/node/registry.rs
+++ b/agatetrestle/src/node/registry.rs
@@ -13,11 +13,11 @@
 use crate::members::message::Sign;
 use crate::members::table::Table;
 use crate::node::group::Group;
-use crate::node::group::Verdict;
+use crate::node::group::ProposalOutcome;
 use crate::node::links::Links;
 
 /// The control replica's side of heartbeats.
-pub struct Registry {
+pub struct MemberRegistry {
     group: Rc<Group<ControlState>>,
     table: RefCell<Table>,
     links: Rc<Links>,
@@ -25,7 +25,7 @@
     lease: Duration,
 }
 
-impl Registry {
+impl MemberRegistry {
     /// A registry for heartbeats of an interval; it grants leases of the given length. `epoch` is the node's
     /// incarnation.
     #[must_use]
@@ -46,9 +46,9 @@
         let newest = self.table.borrow_mut().record(self.clock.now(), beat);
         if let (true, Ok(address)) = (newest, address) {
             // Learnt first hand, because without a leader no digest tells where a replaced VM now is.
-            self.links.learn(node, address);
+            self.links.add_address(node, address);
         }
-        let confirmed = self.group.leads() && self.group.ready().await == Verdict::Ready;
+        let confirmed = self.group.leads() && self.group.read_barrier().await == ProposalOutcome::Ready;
         let configuration = self.configuration();
         if !confirmed {
             return Digest { revision: configuration.revision, ..Digest::default() };
--- a/agatetrestle/src/node/replicas.rs
+++ b/agatetrestle/src/node/replicas.rs
@@ -63,7 +63,7 @@
 /// A replica that lost its files may have voted and acknowledged before, so it must not quietly
 /// start afresh: that could elect a leader without what was committed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Missing {
+pub enum MissingFiles {
     /// Refuse to start.
     #[default]
     Refuse,
@@ -74,7 +74,7 @@
 }
 
 /// What every replica of a node is opened with.
-pub struct Opener<'a> {
+pub struct ReplicaOpener<'a> {
     /// This node.
     pub node: NodeId,
     /// Its folder for durable state, if it has one, and how files are laid out there.
@@ -90,14 +90,14 @@
 }
 
 /// What the files of a group hold.
-pub struct Found {
+pub struct StoredReplica {
     group: GroupId,
     folder: PathBuf,
     storage: Storage,
     restored: Restored,
 }
 
-impl Found {
+impl StoredReplica {
     /// The group.
     #[must_use]
     pub fn group(&self) -> GroupId {
@@ -112,7 +112,7 @@
 }
 
 /// An open replica and the task that drives it.
-pub struct Opened<M: StateMachine> {
+pub struct OpenReplica<M: StateMachine> {
     /// The replica.
     pub group: Rc<Group<M>>,
     /// Its driver; dropping it stops the replica.
@@ -128,7 +128,7 @@
     settings.peers.iter().filter(holds).map(|peer| NodeId(peer.id)).collect()
 }
 
-impl Opener<'_> {
+impl ReplicaOpener<'_> {
     /// Opens the replica of a group; `holders` are the nodes that hold one as far as is known.
     ///
     /// # Errors
@@ -139,13 +139,13 @@
         id: GroupId,
         machine: M,
         holders: &[NodeId],
-        missing: Missing,
-    ) -> Result<Opened<M>, NodeError>
+        missing: MissingFiles,
+    ) -> Result<OpenReplica<M>, NodeError>
     where
         M: StateMachine + 'static,
     {
         let found = self.find(id).await?;
-        self.open_found(found, machine, holders, missing).await
+        self.open_stored(found, machine, holders, missing).await
     }
 
     /// Reads the files of a group, so that one can decide by them what to do where there are none.
@@ -153,31 +153,31 @@
     /// # Errors
     ///
     /// Fails if the files can't be used or the node has no data folder for them.
-    pub async fn find(&self, group: GroupId) -> Result<Found, NodeError> {
+    pub async fn find(&self, group: GroupId) -> Result<StoredReplica, NodeError> {
         let folder = self.storage.data_folder.clone().context(NoDataFolderSnafu { group })?;
         let (storage, restored) = open_storage(&folder, group, self.storage.segment).await?;
-        Ok(Found { group, folder, storage, restored })
+        Ok(StoredReplica { group, folder, storage, restored })
     }
 
-    /// As [`Opener::open`], from files that were read already.
+    /// As [`ReplicaOpener::open`], from files that were read already.
     ///
     /// # Errors
     ///
     /// As there.
-    pub async fn open_found<M>(
+    pub async fn open_stored<M>(
         &self,
-        mut found: Found,
+        mut found: StoredReplica,
         machine: M,
         holders: &[NodeId],
-        missing: Missing,
-    ) -> Result<Opened<M>, NodeError>
+        missing: MissingFiles,
+    ) -> Result<OpenReplica<M>, NodeError>
     where
         M: StateMachine + 'static,
     {
-        let joining = found.is_empty() && missing == Missing::Join;
+        let joining = found.is_empty() && missing == MissingFiles::Join;
         if found.is_empty() && !joining {
-            let Found { group, folder, .. } = &found;
-            ensure!(missing == Missing::Bootstrap, MissingSnafu { group: *group, folder });
+            let StoredReplica { group, folder, .. } = &found;
+            ensure!(missing == MissingFiles::Bootstrap, MissingSnafu { group: *group, folder });
             let founding = founding_snapshot(&machine, holders.to_vec());
             found.storage = save(found.storage, founding.clone(), &found.folder).await?;
             found.restored.snapshot = Some(founding);
@@ -185,11 +185,16 @@
         self.assemble(found, machine, holders)
     }
 
-    fn assemble<M>(&self, found: Found, mut machine: M, holders: &[NodeId]) -> Result<Opened<M>, NodeError>
+    fn assemble<M>(
+        &self,
+        found: StoredReplica,
+        mut machine: M,
+        holders: &[NodeId],
+    ) -> Result<OpenReplica<M>, NodeError>
     where
         M: StateMachine + 'static,
     {
-        let Found { group: id, folder, storage, restored } = found;
+        let StoredReplica { group: id, folder, storage, restored } = found;
         let mut replicas = Replicas::default();
         let mut applied = Position::default();
         let mut blank = Vec::new();
@@ -221,7 +226,7 @@
         });
         let tick = self.timing.leader_interval / TICKS_PER_INTERVAL;
         let driver = self.executor.spawn(group.clone().run(storage, jobs, tick));
-        Ok(Opened { group, driver })
+        Ok(OpenReplica { group, driver })
     }
 
     fn replica_config(&self, group: GroupId) -> ReplicaConfig {
--- a/agatetrestle/src/node/router.rs
+++ b/agatetrestle/src/node/router.rs
@@ -135,7 +135,7 @@
     /// # Errors
     ///
     /// As [`Router::submit`].
-    pub async fn offer(&self, request: Vec<u8>) -> Result<Vec<u8>, GroupError> {
+    pub async fn try_submit(&self, request: Vec<u8>) -> Result<Vec<u8>, GroupError> {
         self.forward(request, RetryRule::UntilRefused).await
     }
 
@@ -260,7 +260,7 @@
         };
         match submit_remotely(&link, self.timeouts.attempt, self.group, request).await {
             Ok(submission) => submission,
-            Err(failure) if failure.unsent() => Submission::Unreachable(failure.to_string().into()),
+            Err(failure) if failure.is_unsent() => Submission::Unreachable(failure.to_string().into()),
             Err(failure) => Submission::Unknown(failure.to_string().into()),
         }
     }
--- a/agatetrestle/src/node/router/tests.rs
+++ b/agatetrestle/src/node/router/tests.rs
@@ -44,7 +44,7 @@
     smol::block_on(executor.run(async {
         let (_listener, address) = silent_peer().await;
         let links = Links::new(OWN, EVER, &executor);
-        links.learn(SILENT, address);
+        links.add_address(SILENT, address);
         let replica = Rc::new(Replica { says, asked: Cell::new(0) });
         let timeouts = RequestTimeouts { attempt: EVER, request: EVER };
         let local: Rc<dyn GroupService> = replica.clone();
@@ -94,7 +94,7 @@
         let links = Links::new(OWN, EVER, &executor);
         let local: Rc<dyn GroupService> = replica.clone();
         let router = Router::new(GroupId(1), OWN, Some(local), links, &[OWN], Clock::start(), timeouts);
-        assert!(matches!(router.offer(vec![7]).await, Err(GroupError::NotProposed { .. })));
+        assert!(matches!(router.try_submit(vec![7]).await, Err(GroupError::NotProposed { .. })));
         assert_eq!(replica.asked.get(), 1);
         assert!(matches!(router.submit(vec![7]).await, Err(GroupError::NotProposed { .. })));
         assert!(replica.asked.get() > 2, "it was handed over again while there was time");
--- a/agatetrestle/src/node/service.rs
+++ b/agatetrestle/src/node/service.rs
@@ -14,7 +14,7 @@
 use crate::control::state::ControlState;
 use crate::ids::NodeId;
 use crate::node::group::Group;
-use crate::node::group::Verdict;
+use crate::node::group::ProposalOutcome;
 use crate::programs::command::ProgramRequest;
 use crate::programs::ledger::LedgerState;
 
@@ -48,19 +48,23 @@
     fn take(&self, report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>>;
 }
 
-pub(crate) fn outcome(verdict: Verdict) -> Submission {
+pub(crate) fn to_submission(verdict: ProposalOutcome) -> Submission {
     match verdict {
-        Verdict::Applied(reply) => Submission::Applied(reply),
-        Verdict::Rejected(Rejection::NotLeader(leader)) => Submission::NotLeader(leader),
-        Verdict::Rejected(Rejection::Busy) => Submission::Refused("too many commands are under way".into()),
-        Verdict::Rejected(Rejection::ChangePending) => {
+        ProposalOutcome::Applied(reply) => Submission::Applied(reply),
+        ProposalOutcome::Rejected(Rejection::NotLeader(leader)) => Submission::NotLeader(leader),
+        ProposalOutcome::Rejected(Rejection::Busy) => {
+            Submission::Refused("too many commands are under way".into())
+        }
+        ProposalOutcome::Rejected(Rejection::ChangePending) => {
             Submission::Refused("a change of replicas is under way".into())
         }
-        Verdict::Rejected(Rejection::InvalidChange) => {
+        ProposalOutcome::Rejected(Rejection::InvalidChange) => {
             Submission::Refused("the change makes no sense".into())
         }
-        Verdict::Ready | Verdict::Changed => Submission::Refused("a read was taken for a command".into()),
-        Verdict::Unknown => Submission::Unknown("leadership was lost".into()),
+        ProposalOutcome::Ready | ProposalOutcome::Changed => {
+            Submission::Refused("a read was taken for a command".into())
+        }
+        ProposalOutcome::Unknown => Submission::Unknown("leadership was lost".into()),
     }
 }
 
@@ -68,7 +72,7 @@
 where
     M: StateMachine + 'static,
 {
-    outcome(group.submit(payload.into()).await)
+    to_submission(group.submit(payload.into()).await)
 }
 
 /// Reads the state machine as of now, which only the leader can.
@@ -77,9 +81,9 @@
     M: StateMachine + 'static,
     T: Serialize,
 {
-    match group.ready().await {
-        Verdict::Ready => Submission::Applied(encode(&group.machine(f))),
-        verdict => outcome(verdict),
+    match group.read_barrier().await {
+        ProposalOutcome::Ready => Submission::Applied(encode(&group.machine(f))),
+        verdict => to_submission(verdict),
     }
 }
 
@@ -107,9 +111,9 @@
 }
 
 /// A control replica.
-pub struct ControlService(pub Rc<Group<ControlState>>);
+pub struct ControlGroupService(pub Rc<Group<ControlState>>);
 
-impl GroupService for ControlService {
+impl GroupService for ControlGroupService {
     fn submit(&self, request: Vec<u8>) -> LocalBoxFuture<'_, Submission> {
         Box::pin(commit(&self.0, request))
     }
--- a/agatetrestle/src/node/vm_list.rs
+++ b/agatetrestle/src/node/vm_list.rs
@@ -18,8 +18,8 @@
 use crate::members::vm_list::VmListError;
 use crate::members::vm_list::VmListReader;
 use crate::members::vm_list::parse;
-use crate::node::heartbeats::Heartbeats;
-use crate::node::peer_link::within;
+use crate::node::heartbeats::HeartbeatSender;
+use crate::node::peer_link::with_deadline;
 
 /// Largest list that is read: 100 bytes for each of 40,000 VMs.
 const MAX_BYTES: u64 = 4 << 20;
@@ -40,10 +40,10 @@
 }
 
 /// Reads the list again and again until the task is dropped.
-pub async fn run(heartbeats: Rc<Heartbeats>, address: SocketAddr, interval: Duration) {
+pub async fn run(heartbeats: Rc<HeartbeatSender>, address: SocketAddr, interval: Duration) {
     let mut reader = VmListReader::default();
     loop {
-        match within(interval, fetch(address)).await.unwrap_or(TimeoutSnafu.fail()) {
+        match with_deadline(interval, fetch(address)).await.unwrap_or(TimeoutSnafu.fail()) {
             Ok(bytes) => match parse(&bytes).map_err(FetchError::from) {
                 Ok(list) => heartbeats.take_vm_changes(reader.take_in(list)),
                 Err(failure) => debug!("The VM list is passed over: {failure}."),
--- a/agatetrestle/src/orders/engines.rs
+++ b/agatetrestle/src/orders/engines.rs
@@ -18,7 +18,7 @@
 use snafu::Snafu;
 use snafu::ensure;
 
-use crate::node::peer_link::within;
+use crate::node::peer_link::with_deadline;
 
 /// Header that carries the fencing token of an order.
 pub const FENCING_TOKEN_HEADER: &str = "Agatetrestle-Fence";
@@ -89,7 +89,7 @@
 
 impl HttpEngineAdmin {
     async fn exchange(&self, engine: SocketAddr, request: Request) -> Result<Vec<u8>, EngineError> {
-        within(self.timeout, exchange(engine, request)).await.unwrap_or(TimeoutSnafu.fail())
+        with_deadline(self.timeout, exchange(engine, request)).await.unwrap_or(TimeoutSnafu.fail())
     }
 }
 
--- a/agatetrestle/src/transport/client.rs
+++ b/agatetrestle/src/transport/client.rs
@@ -29,7 +29,7 @@
 
 use crate::clock::Clock;
 use crate::clock::Timestamp;
-use crate::node::peer_link::within;
+use crate::node::peer_link::with_deadline;
 
 /// Time for a connection to be made; servers in other failure domains are 1.5 ms away and take 1 ms for it, and an
 /// opening packet that was dropped is sent again only after a second.
@@ -136,7 +136,7 @@
 
     async fn connect(&self, address: SocketAddrV4) -> Result<Lease, SendError> {
         let refused = |reason: &dyn std::fmt::Display| SendError::Connect { reason: reason.to_string() };
-        let connecting = within(CONNECT, TcpStream::connect(SocketAddr::V4(address))).await;
+        let connecting = with_deadline(CONNECT, TcpStream::connect(SocketAddr::V4(address))).await;
         let stream = connecting.ok_or_else(|| refused(&"no connection in time"))?.map_err(|f| refused(&f))?;
         stream.set_nodelay(true).map_err(|failure| refused(&failure))?;
         let handshake = http1::Builder::new().max_buf_size(HEAD).handshake(FuturesIo::new(stream)).await;
--- a/agatetrestle/tests/cluster/mod.rs
+++ b/agatetrestle/tests/cluster/mod.rs
@@ -15,7 +15,7 @@
 use agatetrestle::node::Node;
 use agatetrestle::node::NodeError;
 use agatetrestle::node::listeners::Listeners;
-use agatetrestle::node::replicas::Missing;
+use agatetrestle::node::replicas::MissingFiles;
 use agatetrestle_config::Settings;
 use agatetrestle_config::settings::Listen;
 use agatetrestle_config::settings::PeerSeed;
@@ -81,12 +81,12 @@
             self.start_forwarders().await;
         }
         for (id, listeners) in bound {
-            self.start_on(id, listeners, Missing::Bootstrap).await.unwrap();
+            self.start_on(id, listeners, MissingFiles::Bootstrap).await.unwrap();
         }
     }
 
     /// Starts a node on new addresses.
-    pub async fn start(&self, id: u64, missing: Missing) -> Result<(), NodeError> {
+    pub async fn start(&self, id: u64, missing: MissingFiles) -> Result<(), NodeError> {
         let listeners = self.bind(id).await;
         self.start_on(id, listeners, missing).await
     }
@@ -130,7 +130,7 @@
         listeners
     }
 
-    async fn start_on(&self, id: u64, listeners: Listeners, missing: Missing) -> Result<(), NodeError> {
+    async fn start_on(&self, id: u64, listeners: Listeners, missing: MissingFiles) -> Result<(), NodeError> {
         let own = Rc::new(LocalExecutor::new());
         let settings = self.settings(id);
         let node = own.run(Node::start(settings, listeners, own.clone(), missing)).await?;
--- a/agatetrestle/tests/replacement.rs
+++ b/agatetrestle/tests/replacement.rs
@@ -16,7 +16,7 @@
 use agatetrestle::ids::ProgramId;
 use agatetrestle::ids::RequestKey;
 use agatetrestle::node::NodeError;
-use agatetrestle::node::replicas::Missing;
+use agatetrestle::node::replicas::MissingFiles;
 use agatetrestle::ports::ChangeError;
 use agatetrestle::programs::command::Answer;
 use agatetrestle::programs::command::ProgramCommand;
@@ -97,7 +97,7 @@
         cluster.lose(3).await;
         cluster.lose_files(3);
         open(&cluster, 2).await;
-        cluster.start(4, Missing::Join).await.unwrap();
+        cluster.start(4, MissingFiles::Join).await.unwrap();
         change(&cluster, ReplicaChange::AddLearner(NodeId(4))).await;
         change(&cluster, ReplicaChange::Promote(NodeId(4))).await;
         change(&cluster, ReplicaChange::Remove(NodeId(3))).await;
@@ -122,11 +122,11 @@
 
         cluster.lose(3).await;
         cluster.lose_files(3);
-        let refused = cluster.start(3, Missing::Refuse).await;
+        let refused = cluster.start(3, MissingFiles::Refuse).await;
         assert!(matches!(refused, Err(NodeError::Missing { .. })));
 
         // Its number is still a voter's, so it must stay silent, and with it alone there is no quorum.
-        cluster.start(3, Missing::Join).await.unwrap();
+        cluster.start(3, MissingFiles::Join).await.unwrap();
         cluster.lose(2).await;
         let spec = ProgramSpec {
             team: "dawn".into(),
@@ -139,7 +139,7 @@
         assert!(cluster.node(1).ledger().commit(command).await.is_err());
         assert!(!cluster.node(3).groups().groups().iter().any(|group| group.commit > 0));
 
-        cluster.start(2, Missing::Refuse).await.unwrap();
+        cluster.start(2, MissingFiles::Refuse).await.unwrap();
         change(&cluster, ReplicaChange::Remove(NodeId(3))).await;
         change(&cluster, ReplicaChange::AddLearner(NodeId(3))).await;
         change(&cluster, ReplicaChange::Promote(NodeId(3))).await;
@@ -200,7 +200,7 @@
         }
 
         cluster.lose(3).await;
-        cluster.start(4, Missing::Join).await.unwrap();
+        cluster.start(4, MissingFiles::Join).await.unwrap();
         change(&cluster, ReplicaChange::AddLearner(NodeId(4))).await;
         change(&cluster, ReplicaChange::Promote(NodeId(4))).await;
         change(&cluster, ReplicaChange::Remove(NodeId(3))).await;
@@ -209,7 +209,7 @@
 
         // A restart finds what the snapshot relies on, and the loss of node 1 leaves it in the quorum.
         cluster.lose(4).await;
-        cluster.start(4, Missing::Refuse).await.unwrap();
+        cluster.start(4, MissingFiles::Refuse).await.unwrap();
         cluster.lose(1).await;
         let query = ProgramQuery::Request(program(1), RequestKey("key-1".into()));
         let stored = cluster::persist("the stored answer", async || {
--- a/agatetrestle/tests/store_memory.rs
+++ b/agatetrestle/tests/store_memory.rs
@@ -14,11 +14,11 @@
 use agatetrestle::codec::Blob;
 use agatetrestle::ids::FIRST_STATE_GROUP;
 use agatetrestle::ids::NodeId;
-use agatetrestle::node::group::Verdict;
+use agatetrestle::node::group::ProposalOutcome;
 use agatetrestle::node::links::Links;
-use agatetrestle::node::replicas::Missing;
-use agatetrestle::node::replicas::Opened;
-use agatetrestle::node::replicas::Opener;
+use agatetrestle::node::replicas::MissingFiles;
+use agatetrestle::node::replicas::OpenReplica;
+use agatetrestle::node::replicas::ReplicaOpener;
 use agatetrestle::turns::command::Begin;
 use agatetrestle::turns::command::Finish;
 use agatetrestle::turns::command::RetainedTurn;
@@ -79,12 +79,12 @@
     })
 }
 
-async fn open(folder: &Path, executor: &Rc<LocalExecutor<'static>>) -> Opened<TurnState> {
+async fn open(folder: &Path, executor: &Rc<LocalExecutor<'static>>) -> OpenReplica<TurnState> {
     let storage =
         Storage { data_folder: Some(folder.to_path_buf()), segment: 1 << 20, snapshot_after: SNAPSHOT_AFTER };
     let links = Links::new(NODE, Duration::from_secs(1), executor);
     let timing = Timing::default();
-    let opener = Opener {
+    let opener = ReplicaOpener {
         node: NODE,
         storage: &storage,
         timing: &timing,
@@ -93,7 +93,7 @@
         executor,
     };
     let machine = TurnState::with_max_bytes(ROOM);
-    let started = opener.open(FIRST_STATE_GROUP, machine, &[NODE], Missing::Bootstrap).await.unwrap();
+    let started = opener.open(FIRST_STATE_GROUP, machine, &[NODE], MissingFiles::Bootstrap).await.unwrap();
     while !started.group.leads() {
         Timer::after(Duration::from_millis(5)).await;
     }
@@ -101,12 +101,12 @@
 }
 
 /// Runs turns until their texts pass some bytes.
-async fn fill(store: &Opened<TurnState>, name: &str, bytes: usize) {
+async fn fill(store: &OpenReplica<TurnState>, name: &str, bytes: usize) {
     for number in 0..bytes / TEXT {
         let turn = format!("{name}-{number}");
         for command in [begin(&turn), finish(&turn)] {
             let payload: Arc<[u8]> = command.encode(Duration::from_millis(1)).into();
-            assert!(matches!(store.group.submit(payload).await, Verdict::Applied(_)));
+            assert!(matches!(store.group.submit(payload).await, ProposalOutcome::Applied(_)));
         }
     }
 }
