--- a/agatetrestle/src/deployment/control.rs
+++ b/agatetrestle/src/deployment/control.rs
@@ -38,7 +38,7 @@
 use crate::node::replicas::Missing;
 use crate::node::router::Router;
 use crate::node::service::GroupService;
-use crate::transport::server::Bounds;
+use crate::transport::server::ServerLimits;
 
 /// How often a control replica looks who has gone silent.
 const REFRESH: Duration = Duration::from_millis(200);
@@ -74,11 +74,11 @@
         Router::new(CONTROL_GROUP, frame.node, Some(desk), links, &[], frame.clock, REQUEST_TIMEOUTS);
     let router = Rc::new(router);
     spawn_upkeep(frame, &group, &registry, &router);
-    let bounds = Bounds::new(CONNECTIONS);
+    let limits = ServerLimits::new(CONNECTIONS);
     let handler = operators::handler(frame.wire.clone(), router);
-    serve_http(frame, frame.settings.listen.operators, handler, bounds.clone());
+    serve_http(frame, frame.settings.listen.operators, handler, limits.clone());
     let handler = directory::handler(frame.wire.clone(), registry, frame.settings.bounds.address_max_age);
-    serve_http(frame, frame.settings.listen.directory, handler, bounds);
+    serve_http(frame, frame.settings.listen.directory, handler, limits);
     Ok(Replicated { group, subscriber })
 }
 
--- a/agatetrestle/src/deployment/directory.rs
+++ b/agatetrestle/src/deployment/directory.rs
@@ -12,7 +12,7 @@
 use crate::cluster::message::Member;
 use crate::cluster::registry::ClusterRegistry;
 use crate::gateway::wire::WireFormat;
-use crate::transport::body::AnswerBody;
+use crate::transport::body::ResponseBody;
 use crate::transport::server::Handler;
 
 /// For how long callers are told to keep an answer. Some keep it three times as long, and a planned stop has to wait for
@@ -33,7 +33,7 @@
                     empty(StatusCode::SERVICE_UNAVAILABLE)
                 } else {
                     let body = wire.write_addresses(&addresses, MAX_AGE.min(bound));
-                    let mut response = Response::new(AnswerBody::whole(body));
+                    let mut response = Response::new(ResponseBody::full(body));
                     let media = http::HeaderValue::from_static("application/json");
                     response.headers_mut().insert(CONTENT_TYPE, media);
                     response
@@ -44,8 +44,8 @@
     })
 }
 
-fn empty(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(""));
+fn empty(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(""));
     *response.status_mut() = status;
     response
 }
--- a/agatetrestle/src/deployment/entry.rs
+++ b/agatetrestle/src/deployment/entry.rs
@@ -33,9 +33,9 @@
 use crate::ids::GroupId;
 use crate::ids::NodeId;
 use crate::node::peer_server::PeerServer;
-use crate::transport::body::AnswerBody;
-use crate::transport::server::Bounds;
+use crate::transport::body::ResponseBody;
 use crate::transport::server::Handler;
+use crate::transport::server::ServerLimits;
 
 /// Share of the memory that bodies of requests may take at once, as a divisor.
 const BODY_SHARE: usize = 4;
@@ -52,7 +52,7 @@
 pub(super) struct Entry {
     gateway: Rc<Gateway>,
     subscriber: Rc<Subscriber>,
-    bounds: Rc<Bounds>,
+    limits: Rc<ServerLimits>,
     clock: Clock,
     grace: Duration,
 }
@@ -94,7 +94,7 @@
         timeouts: REQUEST_TIMEOUTS,
     });
     let sockets = frame.settings.limits.descriptors.saturating_sub(OWN_DESCRIPTORS);
-    let bounds = Bounds::new(usize::try_from(sockets).unwrap_or(usize::MAX).max(CHECKS));
+    let limits = ServerLimits::new(usize::try_from(sockets).unwrap_or(usize::MAX).max(CHECKS));
     let gateway = Gateway::new(GatewayParts {
         wire: frame.wire.clone(),
         turns: Rc::new(TurnPort(turns.clone())),
@@ -102,7 +102,7 @@
             .with_policy(frame.settings.decisions),
         seed: frame.node.0,
         clock: frame.clock,
-        bounds: bounds.clone(),
+        limits: limits.clone(),
         body_buffer_bytes: frame.memory() / BODY_SHARE,
         recorder: frame.metrics.clone(),
         executor: frame.executor.clone(),
@@ -113,19 +113,19 @@
     let (introduced, member) = (gateway.clone(), frame.member());
     let introduce = Rc::new(move || Member { ready: introduced.is_ready(), ..member.clone() }.into());
     let subscriber = frame.subscriber(introduce, None);
-    serve_callers(frame, &gateway, &bounds);
+    serve_callers(frame, &gateway, &limits);
     serve_readiness(frame, &gateway);
     let grace = frame.settings.bounds.stop_grace;
-    Entry { gateway, subscriber, bounds, clock: frame.clock, grace }
+    Entry { gateway, subscriber, limits, clock: frame.clock, grace }
 }
 
-fn serve_callers(frame: &Frame, gateway: &Rc<Gateway>, bounds: &Rc<Bounds>) {
+fn serve_callers(frame: &Frame, gateway: &Rc<Gateway>, limits: &Rc<ServerLimits>) {
     let gateway = gateway.clone();
     let handler: Handler = Rc::new(move |request| {
         let gateway = gateway.clone();
         Box::pin(async move { gateway.handle(request).await })
     });
-    serve_http(frame, frame.settings.listen.callers, handler, bounds.clone());
+    serve_http(frame, frame.settings.listen.callers, handler, limits.clone());
 }
 
 fn serve_readiness(frame: &Frame, gateway: &Rc<Gateway>) {
@@ -137,11 +137,11 @@
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         };
-        let mut response = Response::new(AnswerBody::whole(""));
+        let mut response = Response::new(ResponseBody::full(""));
         *response.status_mut() = status;
         Box::pin(async move { response })
     });
-    serve_http(frame, frame.settings.listen.readiness, handler, Bounds::new(CHECKS));
+    serve_http(frame, frame.settings.listen.readiness, handler, ServerLimits::new(CHECKS));
 }
 
 impl RunningRole for Entry {
@@ -159,7 +159,7 @@
             loop {
                 Timer::after(STOP_POLL).await;
                 let since = self.clock.now().since(started);
-                self.bounds.closing.set(since >= aged);
+                self.limits.shutting_down.set(since >= aged);
                 let idle = self.gateway.in_flight() == 0 && since >= aged + STOP_POLL * 20;
                 if idle {
                     return;
--- a/agatetrestle/src/deployment/listing.rs
+++ b/agatetrestle/src/deployment/listing.rs
@@ -28,8 +28,8 @@
 use crate::node::group::Group;
 use crate::node::peer_link::within;
 use crate::ports::Recorder;
-use crate::transport::client::Client;
-use crate::transport::client::Reuse;
+use crate::transport::client::HttpClient;
+use crate::transport::client::ReusePolicy;
 
 /// Time between two readings: a leaving server may get requests for 3 s after it is listed so, and the list itself
 /// lags by nearly one.
@@ -77,7 +77,7 @@
 impl Listing {
     /// Reads while this replica leads, until the task is dropped.
     pub(super) async fn run(self) {
-        let client = Client::new(&self.executor, self.clock);
+        let client = HttpClient::new(&self.executor, self.clock);
         let mut reachable = None;
         let mut pages = 1;
         let mut unreadable = 0;
@@ -135,7 +135,7 @@
         }
     }
 
-    async fn read(&self, client: &Client) -> Result<List, ListError> {
+    async fn read(&self, client: &HttpClient) -> Result<List, ListError> {
         let mut list = List::default();
         let mut page: Option<Arc<str>> = None;
         for pages in 1..=MOST_PAGES {
@@ -155,17 +155,18 @@
     }
 }
 
-async fn get(client: &Client, address: SocketAddrV4, path: &str) -> Result<Bytes, ListError> {
+async fn get(client: &HttpClient, address: SocketAddrV4, path: &str) -> Result<Bytes, ListError> {
     let broken = |failure: &dyn std::fmt::Display| ListError::Broken { reason: failure.to_string() };
-    let mut lease = client.lease(address, Reuse::Kept).await.map_err(|failure| broken(&failure))?;
+    let mut connection =
+        client.acquire(address, ReusePolicy::Any).await.map_err(|failure| broken(&failure))?;
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = path.parse().map_err(|failure| broken(&failure))?;
     let host = HeaderValue::from_str(&address.to_string()).map_err(|failure| broken(&failure))?;
     request.headers_mut().insert(HOST, host);
-    let response = lease.send(request).await.map_err(|failure| broken(&failure))?;
+    let response = connection.send(request).await.map_err(|failure| broken(&failure))?;
     let (head, body) = response.into_parts();
     let body = Limited::new(body, PAGE_BYTES).collect().await.map_err(|failure| broken(&failure))?;
-    client.keep(lease, &head.headers);
+    client.release(connection, &head.headers);
     if head.status != StatusCode::OK {
         return Err(ListError::Status { status: head.status });
     }
--- a/agatetrestle/src/deployment/mod.rs
+++ b/agatetrestle/src/deployment/mod.rs
@@ -60,8 +60,8 @@
 use crate::node::replicas::Opener;
 use crate::node::router::RequestTimeouts;
 use crate::transport::server;
-use crate::transport::server::Bounds;
 use crate::transport::server::Handler;
+use crate::transport::server::ServerLimits;
 use crate::transport::server::listen;
 
 /// Bound on connecting to another process and on each call without a bound of its own. Domains are 1.5 ms apart and a
@@ -327,7 +327,7 @@
 }
 
 /// Listens, once the address is free, and serves HTTP there.
-fn serve_http(frame: &Frame, address: Option<SocketAddrV4>, handler: Handler, bounds: Rc<Bounds>) {
+fn serve_http(frame: &Frame, address: Option<SocketAddrV4>, handler: Handler, limits: Rc<ServerLimits>) {
     let Some(address) = address else {
         warn!("An address of this role is not set, so nothing is served there.");
         return;
@@ -335,7 +335,7 @@
     let executor = Rc::downgrade(&frame.executor);
     let serving = async move {
         let listener = listen(address).await;
-        server::serve(listener, handler, bounds, executor).await;
+        server::serve(listener, handler, limits, executor).await;
     };
     frame.executor.spawn(serving).detach();
 }
--- a/agatetrestle/src/deployment/operators.rs
+++ b/agatetrestle/src/deployment/operators.rs
@@ -26,7 +26,7 @@
 use crate::gateway::wire::WireFormat;
 use crate::node::router::Router;
 use crate::ports::GroupError;
-use crate::transport::body::AnswerBody;
+use crate::transport::body::ResponseBody;
 use crate::transport::server::Handler;
 
 /// Largest call: a table of some 10,000 routes.
@@ -47,13 +47,13 @@
     })
 }
 
-fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(text));
+fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(text));
     *response.status_mut() = status;
     response
 }
 
-fn json(body: impl Into<Bytes>) -> Response<AnswerBody> {
+fn json(body: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = plain(StatusCode::OK, body);
     let media = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, media);
@@ -61,12 +61,12 @@
 }
 
 /// Nobody can tell whether a command took effect, or who leads: the operator tries again, here or elsewhere.
-fn unsure(failure: &GroupError) -> Response<AnswerBody> {
+fn unsure(failure: &GroupError) -> Response<ResponseBody> {
     plain(StatusCode::SERVICE_UNAVAILABLE, failure.to_string())
 }
 
 impl Operators {
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = request.into_parts();
         let body = match Limited::new(body, CALL_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
@@ -81,7 +81,7 @@
         }
     }
 
-    async fn publish(&self, text: Arc<str>) -> Response<AnswerBody> {
+    async fn publish(&self, text: Arc<str>) -> Response<ResponseBody> {
         let version = match self.wire.read_table(text.as_bytes()) {
             Ok(table) => table.version,
             Err(invalid) => {
@@ -106,7 +106,7 @@
         }
     }
 
-    async fn read(&self) -> Response<AnswerBody> {
+    async fn read(&self) -> Response<ResponseBody> {
         match self.ask::<Option<Document>>(&ControlRequest::Routes).await {
             Ok(Some(document)) => json(document.text.to_string()),
             Ok(None) => plain(StatusCode::SERVICE_UNAVAILABLE, "no routes were published yet"),
@@ -114,7 +114,7 @@
         }
     }
 
-    async fn empty(&self, vm: Arc<str>) -> Response<AnswerBody> {
+    async fn empty(&self, vm: Arc<str>) -> Response<ResponseBody> {
         match self.ask::<Emptying>(&ControlRequest::Emptying(vm.clone())).await {
             Ok(Emptying::Unknown) => plain(StatusCode::NOT_FOUND, "there is no such store"),
             Ok(Emptying::TooFew) => plain(StatusCode::CONFLICT, "too few stores would be left"),
@@ -133,7 +133,7 @@
         }
     }
 
-    async fn emptied(&self, vm: Arc<str>) -> Response<AnswerBody> {
+    async fn emptied(&self, vm: Arc<str>) -> Response<ResponseBody> {
         match self.ask::<Emptying>(&ControlRequest::Emptying(vm)).await {
             Ok(Emptying::Unknown) => plain(StatusCode::NOT_FOUND, "there is no such store"),
             Ok(emptying) => json(self.wire.write_drain_status(emptying)),
--- a/agatetrestle/src/gateway/attempt.rs
+++ b/agatetrestle/src/gateway/attempt.rs
@@ -22,8 +22,8 @@
 use crate::gateway::slot::ServerSlot;
 use crate::gateway::wire::ForwardMetadata;
 use crate::node::peer_link::within;
-use crate::transport::client::Lease;
-use crate::transport::client::Reuse;
+use crate::transport::client::PooledConnection;
+use crate::transport::client::ReusePolicy;
 use crate::transport::client::SendError;
 
 /// Percentage of the route's latency objective after which a retryable request is sent to another server.
@@ -36,7 +36,7 @@
 /// A response whose head has arrived.
 pub(super) struct StartedResponse {
     pub(super) slot: ServerSlot,
-    pub(super) lease: Lease,
+    pub(super) connection: PooledConnection,
     pub(super) response: Response<Incoming>,
     pub(super) sent_at: Timestamp,
 }
@@ -63,9 +63,9 @@
         slot.release(RequestOutcome::Cancelled);
         return Err(SendFailure::NotRun("the server is gone".into()));
     };
-    let reuse = if ctx.route.is_at_most_once() { Reuse::Fresh } else { Reuse::Kept };
-    let mut lease = match gateway.client.lease(address, reuse).await {
-        Ok(lease) => lease,
+    let reuse = if ctx.route.is_at_most_once() { ReusePolicy::RecentOnly } else { ReusePolicy::Any };
+    let mut connection = match gateway.client.acquire(address, reuse).await {
+        Ok(connection) => connection,
         Err(error) => {
             slot.release(RequestOutcome::Unreachable);
             return Err(SendFailure::NotRun(error.to_string()));
@@ -85,9 +85,9 @@
     let timeout = if is_last { left } else { left.min(ctx.route.objective * ATTEMPT_TIMEOUT_PERCENT / 100) };
     let outcome = if ctx.route.is_streaming() {
         let wait = ResponseWait { gateway, ctx, sent_at, timeout };
-        wait.run(lease.send(request)).await
+        wait.run(connection.send(request)).await
     } else {
-        within(timeout, lease.send(request)).await.map_or(SendOutcome::TimedOut, SendOutcome::Started)
+        within(timeout, connection.send(request)).await.map_or(SendOutcome::TimedOut, SendOutcome::Started)
     };
     let response = match outcome {
         SendOutcome::Silent => {
@@ -106,7 +106,7 @@
             slot.release(RequestOutcome::Cancelled);
             return Err(SendFailure::NotRun(error.to_string()));
         }
-        SendOutcome::Started(Err(error @ SendError::Broken { .. })) => {
+        SendOutcome::Started(Err(error @ SendError::NoResponse { .. })) => {
             slot.release(RequestOutcome::BadResponse);
             return Err(SendFailure::MayHaveRun(error.to_string()));
         }
@@ -114,7 +114,7 @@
     };
     slot.response_due = None;
     gateway.dispatch.borrow_mut().record_response_start(gateway.clock.now(), &ctx.service, sent_at);
-    check_head(gateway, ctx, StartedResponse { slot, lease, response, sent_at })
+    check_head(gateway, ctx, StartedResponse { slot, connection, response, sent_at })
 }
 
 /// How the wait for the response head ended.
--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -51,9 +51,9 @@
 use crate::ports::Recorder;
 use crate::routing::RouteTable;
 use crate::scheduler::random::Random;
-use crate::transport::body::AnswerBody;
-use crate::transport::client::Client;
-use crate::transport::server::Bounds;
+use crate::transport::body::ResponseBody;
+use crate::transport::client::HttpClient;
+use crate::transport::server::ServerLimits;
 
 /// How often queued requests are reconsidered.
 const QUEUED_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -77,7 +77,7 @@
     /// The clock of the process.
     pub clock: Clock,
     /// Limits on caller connections, updated from the route table.
-    pub bounds: Rc<Bounds>,
+    pub limits: Rc<ServerLimits>,
     /// Total size of request bodies that may be buffered at once.
     pub body_buffer_bytes: usize,
     /// Recorder of metrics.
@@ -95,9 +95,9 @@
     /// Queued requests by ticket.
     waiters: RefCell<HashMap<u64, oneshot::Sender<Assignment>>>,
     next_ticket: Cell<u64>,
-    client: Rc<Client>,
+    client: Rc<HttpClient>,
     clock: Clock,
-    bounds: Rc<Bounds>,
+    limits: Rc<ServerLimits>,
     random: RefCell<Random>,
     free_body_bytes: Cell<usize>,
     in_flight: Cell<usize>,
@@ -118,7 +118,7 @@
             dispatch,
             seed,
             clock,
-            bounds,
+            limits,
             body_buffer_bytes,
             recorder,
             executor,
@@ -130,9 +130,9 @@
             dispatch: RefCell::new(dispatch),
             waiters: RefCell::default(),
             next_ticket: Cell::new(1),
-            client: Client::new(&executor, clock),
+            client: HttpClient::new(&executor, clock),
             clock,
-            bounds,
+            limits,
             random: RefCell::new(Random::new(seed)),
             free_body_bytes: Cell::new(body_buffer_bytes),
             in_flight: Cell::new(0),
@@ -155,7 +155,7 @@
                 self.apply(decisions);
             }
             if polls.is_multiple_of(POLLS_PER_SWEEP) {
-                self.client.sweep();
+                self.client.close_expired();
                 let now = self.clock.now();
                 self.last_turns.borrow_mut().retain(|_, last| now.since(*last) < PROGRAM_TTL);
             }
@@ -163,7 +163,7 @@
     }
 
     /// Handles a request from a caller.
-    pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let _in_flight = InFlightRequest::new(&self);
         request::handle(&self, request).await
     }
@@ -204,7 +204,7 @@
                 Decision::Reject { ticket, retry_after, reason } => {
                     self.deliver(ticket, Err(DispatchRejection { retry_after, reason }));
                 }
-                Decision::DropConnections { address } => self.client.forget(address),
+                Decision::DropConnections { address } => self.client.close_idle(address),
                 Decision::Eject { server, until, failure_rate } => {
                     self.log_suspect(server, until, failure_rate);
                 }
@@ -250,9 +250,9 @@
         match self.wire.read_table(document.text.as_bytes()) {
             Ok(table) => {
                 info!("Routes of version {} are in force, revision {}.", table.version, document.revision);
-                self.bounds.head.set(table.limits.max_header_bytes);
-                self.bounds.head_time.set(table.limits.header_timeout);
-                self.bounds.idle.set(table.limits.idle_timeout);
+                self.limits.max_head_bytes.set(table.limits.max_header_bytes);
+                self.limits.head_timeout.set(table.limits.header_timeout);
+                self.limits.idle_timeout.set(table.limits.idle_timeout);
                 self.table.replace(Some(Rc::new(table)));
             }
             // The control group accepted the table, so this node runs another build. It keeps its previous table.
--- a/agatetrestle/src/gateway/relay.rs
+++ b/agatetrestle/src/gateway/relay.rs
@@ -27,10 +27,10 @@
 use crate::gateway::turn::OpenTurn;
 use crate::gateway::turn::Transcript;
 use crate::node::peer_link::within;
-use crate::transport::body::AnswerBody;
-use crate::transport::body::Cut;
-use crate::transport::body::Pieces;
-use crate::transport::client::Lease;
+use crate::transport::body::BodyStream;
+use crate::transport::body::ResponseBody;
+use crate::transport::body::TruncatedBody;
+use crate::transport::client::PooledConnection;
 
 /// Responses up to this size are buffered, so that the request can be retried if one breaks off.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 << 10;
@@ -41,7 +41,7 @@
 struct ResponseStream {
     gateway: Rc<Gateway>,
     slot: Option<ServerSlot>,
-    lease: Option<Lease>,
+    connection: Option<PooledConnection>,
     body: Incoming,
     headers: HeaderMap,
     deadline: Timestamp,
@@ -85,14 +85,14 @@
                 RequestOutcome::Completed(took)
             });
         }
-        if let Some(lease) = self.lease.take() {
-            self.gateway.client.keep(lease, &self.headers);
+        if let Some(connection) = self.connection.take() {
+            self.gateway.client.release(connection, &self.headers);
         }
     }
 
     /// Releases the slot and closes the connection, which may still carry the rest of the response.
     fn fail(&mut self) {
-        self.lease = None;
+        self.connection = None;
         if let Some(slot) = self.slot.take() {
             slot.release(RequestOutcome::BadResponse);
         }
@@ -124,8 +124,8 @@
     started: StartedResponse,
     turn: &mut Option<OpenTurn>,
     log_entry: &AccessLogEntry,
-) -> Result<Response<AnswerBody>, String> {
-    let StartedResponse { slot, lease, response, sent_at } = started;
+) -> Result<Response<ResponseBody>, String> {
+    let StartedResponse { slot, connection, response, sent_at } = started;
     let (mut head, body) = response.into_parts();
     let status = head.status;
     let headers = head.headers.clone();
@@ -134,7 +134,7 @@
     let stream = ResponseStream {
         gateway: gateway.clone(),
         slot: Some(slot),
-        lease: Some(lease),
+        connection: Some(connection),
         body,
         headers,
         deadline: ctx.deadline,
@@ -155,7 +155,7 @@
             program: ctx.metadata.program.clone(),
             at_end: false,
         };
-        let body = AnswerBody::Pieces(events.into_pieces(), None);
+        let body = ResponseBody::Stream(events.into_pieces(), None);
         return Ok(Response::from_parts(head, body));
     }
     let body = read_buffered(stream, length).await?;
@@ -163,7 +163,7 @@
 }
 
 /// Buffers a short response; one that exceeds the limit is streamed instead.
-async fn read_buffered(mut stream: ResponseStream, length: Option<u64>) -> Result<AnswerBody, String> {
+async fn read_buffered(mut stream: ResponseStream, length: Option<u64>) -> Result<ResponseBody, String> {
     let mut buffer = BytesMut::new();
     while buffer.len() <= MAX_BUFFERED_RESPONSE_BYTES {
         match stream.next().await {
@@ -171,7 +171,7 @@
             Ok(None) => {
                 stream.complete();
                 stream.log("whole");
-                return Ok(AnswerBody::whole(buffer.freeze()));
+                return Ok(ResponseBody::full(buffer.freeze()));
             }
             Err(reason) => {
                 stream.fail();
@@ -196,11 +196,11 @@
             Err(reason) => {
                 stream.fail();
                 stream.log(reason);
-                Some((Err(Cut), (stream, None)))
+                Some((Err(TruncatedBody), (stream, None)))
             }
         }
     });
-    Ok(AnswerBody::Pieces(Box::pin(pieces), length))
+    Ok(ResponseBody::Stream(Box::pin(pieces), length))
 }
 
 /// A response whose body is a stream of server-sent events.
@@ -215,7 +215,7 @@
 }
 
 impl EventStream {
-    fn into_pieces(self) -> Pieces {
+    fn into_pieces(self) -> BodyStream {
         let pieces = futures::stream::unfold(Some(self), |events| async move {
             let mut events = events?;
             match events.next().await {
@@ -227,7 +227,7 @@
                 Err(reason) => {
                     events.response.fail();
                     events.response.log(reason);
-                    Some((Err(Cut), None))
+                    Some((Err(TruncatedBody), None))
                 }
             }
         });
@@ -263,7 +263,7 @@
     }
 
     /// Ends the response. A turn to be retained is committed first, so that the caller can continue from it.
-    async fn finish(mut self) -> Result<(), Cut> {
+    async fn finish(mut self) -> Result<(), TruncatedBody> {
         self.response.complete();
         self.response.gateway.record_turn(self.program.as_ref());
         if let Some(turn) = &mut self.turn {
@@ -283,11 +283,11 @@
             }
             Some(Err(error)) => {
                 self.response.log(&format!("not kept: {error}"));
-                Err(Cut)
+                Err(TruncatedBody)
             }
             None => {
                 self.response.log("not kept in time");
-                Err(Cut)
+                Err(TruncatedBody)
             }
         }
     }
--- a/agatetrestle/src/gateway/request.rs
+++ b/agatetrestle/src/gateway/request.rs
@@ -36,7 +36,7 @@
 use crate::routing::Route;
 use crate::routing::RouteTable;
 use crate::routing::Unauthorized;
-use crate::transport::body::AnswerBody;
+use crate::transport::body::ResponseBody;
 
 /// Servers that may decline to run a request before it is rejected.
 const MAX_NOT_RUN_ATTEMPTS: u32 = 4;
@@ -47,7 +47,7 @@
 const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(600);
 
 /// Handles a request. Error responses are logged here, forwarded ones by [`relay`].
-pub(super) async fn handle(gateway: &Rc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub(super) async fn handle(gateway: &Rc<Gateway>, request: Request<Incoming>) -> Response<ResponseBody> {
     let arrived_at = gateway.clock.now();
     let mut guard =
         DisconnectGuard { gateway, arrived_at, log_entry: AccessLogEntry::default(), completed: false };
@@ -84,8 +84,8 @@
     }
 }
 
-fn into_response(error: &ErrorResponse) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(error.reason.to_string()));
+fn into_response(error: &ErrorResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(error.reason.to_string()));
     *response.status_mut() = error.status;
     let seconds = error.retry_after.map(|delay| format!("{:.3}", delay.as_secs_f64()));
     if let Some(value) = seconds.and_then(|seconds| HeaderValue::from_str(&seconds).ok()) {
@@ -99,7 +99,7 @@
     request: Request<Incoming>,
     arrived_at: Timestamp,
     log_entry: &mut AccessLogEntry,
-) -> Result<Response<AnswerBody>, ErrorResponse> {
+) -> Result<Response<ResponseBody>, ErrorResponse> {
     let (parts, body) = request.into_parts();
     let metadata = read_metadata(gateway, &parts)?;
     let attempt_id = metadata.attempt_id.clone().unwrap_or_default();
@@ -211,7 +211,7 @@
     gateway: &Rc<Gateway>,
     mut ctx: RequestContext,
     log_entry: &mut AccessLogEntry,
-) -> Result<Response<AnswerBody>, ErrorResponse> {
+) -> Result<Response<ResponseBody>, ErrorResponse> {
     let mut retries = RetryState::default();
     let mut turn: Option<OpenTurn> = None;
     let mut reserved = !reserve::needs_turn(&ctx);
--- a/agatetrestle/src/metrics/scrape.rs
+++ b/agatetrestle/src/metrics/scrape.rs
@@ -22,9 +22,9 @@
 use smol::net::TcpStream;
 
 use crate::metrics::Metrics;
-use crate::transport::accept::Gate;
-use crate::transport::tapped::Tap;
-use crate::transport::tapped::Tapped;
+use crate::transport::accept::ConnectionLimiter;
+use crate::transport::observed::ObservedStream;
+use crate::transport::observed::ReadObserver;
 
 const MAX_SCRAPES: usize = 8;
 const MAX_REQUEST: usize = 8 << 10;
@@ -33,15 +33,15 @@
 
 /// Answers `GET /metrics` for as long as it is polled.
 pub async fn serve(metrics: Rc<Metrics>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
-    let gate = Gate::new("a scraper");
+    let limiter = ConnectionLimiter::new("a scraper");
     loop {
-        let (stream, admission) = gate.admit(&listener, || MAX_SCRAPES).await;
+        let (stream, permit) = limiter.accept(&listener, || MAX_SCRAPES).await;
         let metrics = Rc::clone(&metrics);
         let scrape = async move {
             if let Err(e) = answer(&metrics, stream).or(too_slow()).await {
                 log::debug!("A scrape failed: {e}.");
             }
-            drop(admission);
+            drop(permit);
         };
         executor.spawn(scrape).detach();
     }
@@ -53,7 +53,8 @@
 }
 
 async fn answer(metrics: &Metrics, mut stream: TcpStream) -> http_types::Result<()> {
-    let request = Tapped { stream: stream.clone(), tap: Bound(Arc::new(AtomicUsize::new(MAX_REQUEST))) };
+    let request =
+        ObservedStream { stream: stream.clone(), observer: Bound(Arc::new(AtomicUsize::new(MAX_REQUEST))) };
     let (response, method) = match async_h1::server::decode(request).await {
         Ok(Some((req, _))) => (respond(metrics, req.method(), req.url().path()), req.method()),
         Ok(None) => return Ok(()),
@@ -97,12 +98,12 @@
 #[derive(Clone)]
 struct Bound(Arc<AtomicUsize>);
 
-impl Tap for Bound {
-    fn room(&self) -> usize {
+impl ReadObserver for Bound {
+    fn max_read(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 
-    fn took(&self, count: usize) {
+    fn on_read(&self, count: usize) {
         self.0.fetch_sub(count, Ordering::Relaxed);
     }
 }
--- a/agatetrestle/src/node/peer_server.rs
+++ b/agatetrestle/src/node/peer_server.rs
@@ -24,7 +24,7 @@
 use crate::node::wire::write_submission;
 use crate::node::wire_members::read_heartbeat;
 use crate::node::wire_members::write_digest;
-use crate::transport::accept::Gate;
+use crate::transport::accept::ConnectionLimiter;
 
 /// Connections that may be open at once; 400 nodes with a reconnect each stay well below.
 const CONNECTIONS: usize = 2_048;
@@ -158,16 +158,16 @@
     listener: TcpListener,
     executor: std::rc::Weak<LocalExecutor<'static>>,
 ) {
-    let gate = Gate::new("a peer");
+    let limiter = ConnectionLimiter::new("a peer");
     loop {
-        let (stream, admission) = gate.admit(&listener, || CONNECTIONS).await;
+        let (stream, permit) = limiter.accept(&listener, || CONNECTIONS).await;
         let Some(executor) = executor.upgrade() else {
             return;
         };
         let handle = Handle(server.clone());
         let serving = async move {
             serve_connection(handle, stream).await;
-            drop(admission);
+            drop(permit);
         };
         executor.spawn(serving).detach();
     }
--- a/agatetrestle/src/operator/mod.rs
+++ b/agatetrestle/src/operator/mod.rs
@@ -34,8 +34,8 @@
 use crate::ports::Ledger;
 use crate::ports::Members;
 use crate::ports::Traces;
-use crate::transport::accept::Admission;
-use crate::transport::accept::Gate;
+use crate::transport::accept::ConnectionLimiter;
+use crate::transport::accept::ConnectionPermit;
 
 /// Connections open at once. Each holds at most the messages of its calls and one that is being read,
 /// so that all operators together hold at most 40 MiB of them.
@@ -71,14 +71,14 @@
 
 /// Accepts operators' connections for as long as it is polled.
 pub async fn serve(server: Rc<OperatorServer>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
-    let gate = Gate::new("an operator");
+    let limiter = ConnectionLimiter::new("an operator");
     loop {
-        let (stream, admission) = gate.admit(&listener, || MAX_CONNECTIONS).await;
-        executor.spawn(converse(Rc::clone(&server), stream, admission)).detach();
+        let (stream, permit) = limiter.accept(&listener, || MAX_CONNECTIONS).await;
+        executor.spawn(converse(Rc::clone(&server), stream, permit)).detach();
     }
 }
 
-async fn converse(server: Rc<OperatorServer>, stream: TcpStream, _admission: Admission) {
+async fn converse(server: Rc<OperatorServer>, stream: TcpStream, _permit: ConnectionPermit) {
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(MAX_MESSAGE / WORD));
     options.nesting_limit(NESTING);
--- a/agatetrestle/src/transport/accept.rs
+++ b/agatetrestle/src/transport/accept.rs
@@ -15,22 +15,22 @@
 
 /// Counts the open connections of one server.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct ConnectionLimiter {
     of: &'static str,
     open: Rc<Cell<usize>>,
 }
 
 /// A connection that counts until this is dropped.
 #[derive(Debug)]
-pub struct Admission(Rc<Cell<usize>>);
+pub struct ConnectionPermit(Rc<Cell<usize>>);
 
-impl Drop for Admission {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-impl Gate {
+impl ConnectionLimiter {
     /// A gate with no connection open; `of` names in the logs who connects.
     #[must_use]
     pub fn new(of: &'static str) -> Self {
@@ -39,21 +39,29 @@
 
     /// Connections that are open now.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
     /// The next connection, closing those beyond `most` that are open at once. The bound is read for each, since
     /// it may change while this waits.
-    pub async fn admit(&self, listener: &TcpListener, most: impl Fn() -> usize) -> (TcpStream, Admission) {
+    pub async fn accept(
+        &self,
+        listener: &TcpListener,
+        most: impl Fn() -> usize,
+    ) -> (TcpStream, ConnectionPermit) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.open() < most() => {
+                Ok((stream, _)) if self.open_connections() < most() => {
                     self.open.set(self.open.get() + 1);
-                    return (stream, Admission(self.open.clone()));
+                    return (stream, ConnectionPermit(self.open.clone()));
                 }
                 Ok(_) => {
-                    warn!("A connection of {} was closed because {} are open.", self.of, self.open());
+                    warn!(
+                        "A connection of {} was closed because {} are open.",
+                        self.of,
+                        self.open_connections()
+                    );
                 }
                 Err(failure) => {
                     warn!("A connection of {} could not be accepted: {failure}.", self.of);
--- a/agatetrestle/src/transport/client.rs
+++ b/agatetrestle/src/transport/client.rs
@@ -36,7 +36,7 @@
 const CONNECT: Duration = Duration::from_millis(400);
 /// Idle time after which a connection is not used for a request that may run once only: it may have gone silent, and what
 /// was sent on it can't be sent again. It also bounds the idle time where a server does not say when it closes.
-pub const FRESH: Duration = Duration::from_millis(1_500);
+pub const RECENT_IDLE_LIMIT: Duration = Duration::from_millis(1_500);
 /// Part of the time after which a server says that it closes an idle connection, in hundredths, for which it is kept: its
 /// clock began before ours, and a request must not cross its close.
 const KEPT_PERCENT: u32 = 60;
@@ -58,7 +58,7 @@
     },
     /// The request was sent, at least in part.
     #[snafu(display("no answer: {source}"))]
-    Broken {
+    NoResponse {
         /// What the library found.
         source: hyper::Error,
     },
@@ -73,15 +73,15 @@
 
 /// How long ago a connection may have been used last.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reuse {
+pub enum ReusePolicy {
     /// A moment ago, for what may be sent once only.
-    Fresh,
+    RecentOnly,
     /// As long as the server keeps it.
-    Kept,
+    Any,
 }
 
 /// A connection that carries one request.
-pub struct Lease {
+pub struct PooledConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: Task<()>,
     address: SocketAddrV4,
@@ -90,14 +90,14 @@
 }
 
 /// Connections to servers.
-pub struct Client {
+pub struct HttpClient {
     idle: RefCell<HashMap<SocketAddrV4, Vec<Idle>>>,
     executor: std::rc::Weak<LocalExecutor<'static>>,
     clock: Clock,
     made: Cell<u64>,
 }
 
-impl Client {
+impl HttpClient {
     /// A client without connections.
     #[must_use]
     pub fn new(executor: &Rc<LocalExecutor<'static>>, clock: Clock) -> Rc<Self> {
@@ -107,7 +107,7 @@
 
     /// Connections made since the start.
     #[must_use]
-    pub fn made(&self) -> u64 {
+    pub fn connections_opened(&self) -> u64 {
         self.made.get()
     }
 
@@ -116,25 +116,29 @@
     /// # Errors
     ///
     /// Fails only before anything was sent.
-    pub async fn lease(&self, address: SocketAddrV4, reuse: Reuse) -> Result<Lease, SendError> {
+    pub async fn acquire(
+        &self,
+        address: SocketAddrV4,
+        reuse: ReusePolicy,
+    ) -> Result<PooledConnection, SendError> {
         if let Some(Idle { sender, driver, .. }) = self.take(address, reuse) {
-            return Ok(Lease { sender, driver, address, reused: true });
+            return Ok(PooledConnection { sender, driver, address, reused: true });
         }
         self.connect(address).await
     }
 
-    fn take(&self, address: SocketAddrV4, reuse: Reuse) -> Option<Idle> {
+    fn take(&self, address: SocketAddrV4, reuse: ReusePolicy) -> Option<Idle> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&address)?;
         kept.retain(|connection| connection.is_open(now));
         // The one used last goes first, so that the others grow old and are closed.
         let newest = kept.last()?;
-        let usable = reuse == Reuse::Kept || now.since(newest.since) < FRESH;
+        let usable = reuse == ReusePolicy::Any || now.since(newest.since) < RECENT_IDLE_LIMIT;
         if usable { kept.pop() } else { None }
     }
 
-    async fn connect(&self, address: SocketAddrV4) -> Result<Lease, SendError> {
+    async fn connect(&self, address: SocketAddrV4) -> Result<PooledConnection, SendError> {
         let refused = |reason: &dyn std::fmt::Display| SendError::Connect { reason: reason.to_string() };
         let connecting = within(CONNECT, TcpStream::connect(SocketAddr::V4(address))).await;
         let stream = connecting.ok_or_else(|| refused(&"no connection in time"))?.map_err(|f| refused(&f))?;
@@ -150,11 +154,11 @@
             }
         });
         self.made.set(self.made.get() + 1);
-        Ok(Lease { sender, driver, address, reused: false })
+        Ok(PooledConnection { sender, driver, address, reused: false })
     }
 
     /// Keeps a connection for the next request. Only one whose answer was read to its end may be kept.
-    pub fn keep(&self, lease: Lease, headers: &HeaderMap) {
+    pub fn release(&self, connection: PooledConnection, headers: &HeaderMap) {
         let closes =
             headers.get(CONNECTION).is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
         if closes {
@@ -162,20 +166,20 @@
         }
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(lease.address).or_default();
+        let kept = idle.entry(connection.address).or_default();
         if kept.len() < KEPT {
             let until = now + idle_bound(headers);
-            kept.push(Idle { sender: lease.sender, driver: lease.driver, since: now, until });
+            kept.push(Idle { sender: connection.sender, driver: connection.driver, since: now, until });
         }
     }
 
     /// Closes the connections kept for an address, since who listened there is gone.
-    pub fn forget(&self, address: SocketAddrV4) {
+    pub fn close_idle(&self, address: SocketAddrV4) {
         self.idle.borrow_mut().remove(&address);
     }
 
     /// Closes connections that grew old. Called now and then.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         for kept in idle.values_mut() {
@@ -201,20 +205,20 @@
             .find_map(|(_, value)| value.trim().parse().ok())
     });
     let bound = seconds.map(|seconds| Duration::from_secs(seconds).min(LONGEST_IDLE) * KEPT_PERCENT / 100);
-    bound.unwrap_or(FRESH)
+    bound.unwrap_or(RECENT_IDLE_LIMIT)
 }
 
-impl Lease {
+impl PooledConnection {
     /// Sends a request and waits for the head of its answer.
     ///
     /// # Errors
     ///
     /// [`SendError::Connect`] if the connection turned out to be closed before anything was written, else
-    /// [`SendError::Broken`].
+    /// [`SendError::NoResponse`].
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendError> {
         self.sender.try_send_request(request).await.map_err(|mut failure| match failure.take_message() {
             Some(_) => SendError::Connect { reason: "the connection was closed meanwhile".into() },
-            None => SendError::Broken { source: failure.into_error() },
+            None => SendError::NoResponse { source: failure.into_error() },
         })
     }
 }
--- a/agatetrestle/src/transport/mod.rs
+++ b/agatetrestle/src/transport/mod.rs
@@ -5,8 +5,8 @@
 pub mod accept;
 pub mod body;
 pub mod client;
+pub mod observed;
 pub mod server;
-pub mod tapped;
 #[cfg(test)]
 mod tests;
 mod watch;
--- a/agatetrestle/src/transport/tapped.rs
+++ b/agatetrestle/src/transport/observed.rs
@@ -10,37 +10,37 @@
 use smol::net::TcpStream;
 
 /// Counts what is read from a connection, and may bound it.
-pub trait Tap {
+pub trait ReadObserver {
     /// How many bytes may be read now; none ends the connection for its reader.
-    fn room(&self) -> usize {
+    fn max_read(&self) -> usize {
         usize::MAX
     }
 
     /// Takes in that bytes were read; none at the end.
-    fn took(&self, count: usize);
+    fn on_read(&self, count: usize);
 }
 
 /// A connection with its tap.
 #[derive(Clone)]
-pub struct Tapped<T> {
+pub struct ObservedStream<T> {
     /// The connection.
     pub stream: TcpStream,
     /// What counts.
-    pub tap: T,
+    pub observer: T,
 }
 
-impl<T: Tap + Unpin> AsyncRead for Tapped<T> {
+impl<T: ReadObserver + Unpin> AsyncRead for ObservedStream<T> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
-        let room = buf.len().min(self.tap.room());
+        let room = buf.len().min(self.observer.max_read());
         let read = Pin::new(&mut self.stream).poll_read(cx, &mut buf[..room]);
         if let Poll::Ready(Ok(count)) = &read {
-            self.tap.took(*count);
+            self.observer.on_read(*count);
         }
         read
     }
 }
 
-impl<T: Unpin> AsyncWrite for Tapped<T> {
+impl<T: Unpin> AsyncWrite for ObservedStream<T> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
--- a/agatetrestle/src/transport/server.rs
+++ b/agatetrestle/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves HTTP/1.1 on them, within bounds.
+//! Accepts connections and serves HTTP/1.1 on them, within limits.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -24,9 +24,9 @@
 use smol_hyper::rt::FuturesIo;
 use smol_hyper::rt::SmolTimer;
 
-use crate::transport::accept::Gate;
-use crate::transport::body::AnswerBody;
-use crate::transport::tapped::Tapped;
+use crate::transport::accept::ConnectionLimiter;
+use crate::transport::body::ResponseBody;
+use crate::transport::observed::ObservedStream;
 use crate::transport::watch::Watch;
 use crate::transport::watch::Watched;
 
@@ -38,33 +38,33 @@
 const LEAST_HEAD: usize = 8_192;
 
 /// Answers one request; dropped if the caller goes away.
-pub type Handler = Rc<dyn Fn(Request<Incoming>) -> LocalBoxFuture<'static, Response<AnswerBody>>>;
+pub type Handler = Rc<dyn Fn(Request<Incoming>) -> LocalBoxFuture<'static, Response<ResponseBody>>>;
 
-/// Bounds on callers, changed while the server runs.
+/// ServerLimits on callers, changed while the server runs.
 #[derive(Debug)]
-pub struct Bounds {
+pub struct ServerLimits {
     /// Largest request head in bytes.
-    pub head: Cell<usize>,
+    pub max_head_bytes: Cell<usize>,
     /// Time for a request head to arrive, from its first byte on.
-    pub head_time: Cell<Duration>,
+    pub head_timeout: Cell<Duration>,
     /// Time for which a connection may stay without a whole request head.
-    pub idle: Cell<Duration>,
+    pub idle_timeout: Cell<Duration>,
     /// Connections open at once.
-    pub connections: Cell<usize>,
+    pub max_connections: Cell<usize>,
     /// Set once connections are to end after the answer under way.
-    pub closing: Cell<bool>,
+    pub shutting_down: Cell<bool>,
 }
 
-impl Bounds {
-    /// Bounds for callers that are not ours.
+impl ServerLimits {
+    /// ServerLimits for callers that are not ours.
     #[must_use]
     pub fn new(connections: usize) -> Rc<Self> {
         Rc::new(Self {
-            head: Cell::new(16 << 10),
-            head_time: Cell::new(Duration::from_secs(3)),
-            idle: Cell::new(Duration::from_secs(15)),
-            connections: Cell::new(connections),
-            closing: Cell::new(false),
+            max_head_bytes: Cell::new(16 << 10),
+            head_timeout: Cell::new(Duration::from_secs(3)),
+            idle_timeout: Cell::new(Duration::from_secs(15)),
+            max_connections: Cell::new(connections),
+            shutting_down: Cell::new(false),
         })
     }
 }
@@ -89,25 +89,25 @@
 pub async fn serve(
     listener: TcpListener,
     handler: Handler,
-    bounds: Rc<Bounds>,
+    limits: Rc<ServerLimits>,
     executor: std::rc::Weak<LocalExecutor<'static>>,
 ) {
-    let gate = Gate::new("a caller");
+    let limiter = ConnectionLimiter::new("a caller");
     loop {
-        let (stream, admission) = gate.admit(&listener, || bounds.connections.get()).await;
+        let (stream, permit) = limiter.accept(&listener, || limits.max_connections.get()).await;
         let Some(executor) = executor.upgrade() else {
             return;
         };
-        let (handler, bounds) = (handler.clone(), bounds.clone());
+        let (handler, limits) = (handler.clone(), limits.clone());
         let serving = async move {
-            serve_connection(stream, handler, bounds).await;
-            drop(admission);
+            serve_connection(stream, handler, limits).await;
+            drop(permit);
         };
         executor.spawn(serving).detach();
     }
 }
 
-async fn serve_connection(stream: TcpStream, handler: Handler, bounds: Rc<Bounds>) {
+async fn serve_connection(stream: TcpStream, handler: Handler, limits: Rc<ServerLimits>) {
     if let Err(failure) = stream.set_nodelay(true) {
         debug!("A connection could not be set up: {failure}.");
         return;
@@ -124,9 +124,9 @@
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
         // The library counts idle time on a connection as time for the next head; a slow head is found below.
-        .header_read_timeout(bounds.idle.get())
-        .max_buf_size(bounds.head.get().max(LEAST_HEAD))
-        .serve_connection(FuturesIo::new(Tapped { stream, tap: watch.clone() }), service);
+        .header_read_timeout(limits.idle_timeout.get())
+        .max_buf_size(limits.max_head_bytes.get().max(LEAST_HEAD))
+        .serve_connection(FuturesIo::new(ObservedStream { stream, observer: watch.clone() }), service);
     let mut connection = std::pin::pin!(connection);
     loop {
         match select(connection.as_mut(), Timer::after(LOOK)).await {
@@ -136,8 +136,8 @@
                 }
                 return;
             }
-            Either::Right(_) if bounds.closing.get() => break,
-            Either::Right(_) if watch.head_is_late(bounds.head_time.get()) => {
+            Either::Right(_) if limits.shutting_down.get() => break,
+            Either::Right(_) if watch.head_is_late(limits.head_timeout.get()) => {
                 debug!("A connection was closed whose request head came too slowly.");
                 return;
             }
--- a/agatetrestle/src/transport/tests.rs
+++ b/agatetrestle/src/transport/tests.rs
@@ -22,15 +22,15 @@
 use smol::net::TcpStream;
 
 use crate::clock::Clock;
-use crate::transport::accept::Gate;
-use crate::transport::body::AnswerBody;
-use crate::transport::client::Client;
-use crate::transport::client::FRESH;
-use crate::transport::client::Reuse;
+use crate::transport::accept::ConnectionLimiter;
+use crate::transport::body::ResponseBody;
+use crate::transport::client::HttpClient;
+use crate::transport::client::RECENT_IDLE_LIMIT;
+use crate::transport::client::ReusePolicy;
 use crate::transport::client::SendError;
 use crate::transport::client::idle_bound;
 use crate::transport::server;
-use crate::transport::server::Bounds;
+use crate::transport::server::ServerLimits;
 
 type Spawner = Rc<LocalExecutor<'static>>;
 
@@ -80,9 +80,9 @@
 /// What a client makes of an answer: its body, or none if it is not whole.
 async fn body_of(executor: &Spawner, script: &'static [u8]) -> Option<Bytes> {
     let address = scripted(executor, vec![script]).await;
-    let client = Client::new(executor, Clock::start());
-    let mut lease = client.lease(address, Reuse::Kept).await.unwrap();
-    let answer = lease.send(get(b"")).await.ok()?;
+    let client = HttpClient::new(executor, Clock::start());
+    let mut connection = client.acquire(address, ReusePolicy::Any).await.unwrap();
+    let answer = connection.send(get(b"")).await.ok()?;
     answer.into_body().collect().await.ok().map(http_body_util::Collected::to_bytes)
 }
 
@@ -108,22 +108,22 @@
         const TWO: &[u8] =
             b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb";
         let address = scripted(&executor, vec![TWO, b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nc"]).await;
-        let client = Client::new(&executor, Clock::start());
+        let client = HttpClient::new(&executor, Clock::start());
         let mut answers = Vec::new();
         for _ in 0..2 {
             // A kept connection that is found closed is no failure: nothing was sent on it.
             let answer = loop {
-                let mut lease = client.lease(address, Reuse::Kept).await.unwrap();
-                match lease.send(get(b"")).await {
-                    Ok(answer) => break (lease, answer),
+                let mut connection = client.acquire(address, ReusePolicy::Any).await.unwrap();
+                match connection.send(get(b"")).await {
+                    Ok(answer) => break (connection, answer),
                     Err(SendError::Connect { .. }) => {}
                     Err(failure) => panic!("{failure}"),
                 }
             };
-            let (lease, answer) = answer;
+            let (connection, answer) = answer;
             let (head, body) = answer.into_parts();
             answers.push(body.collect().await.unwrap().to_bytes());
-            client.keep(lease, &head.headers);
+            client.release(connection, &head.headers);
         }
         assert_eq!(answers, [&b"a"[..], &b"c"[..]], "the second answer belongs to no request");
     });
@@ -145,9 +145,9 @@
             rest
         };
         let serving = executor.spawn(serving);
-        let client = Client::new(&executor, Clock::start());
-        let mut lease = client.lease(address, Reuse::Kept).await.unwrap();
-        let answer = lease.send(get(&LONG)).await.unwrap();
+        let client = HttpClient::new(&executor, Clock::start());
+        let mut connection = client.acquire(address, ReusePolicy::Any).await.unwrap();
+        let answer = connection.send(get(&LONG)).await.unwrap();
         assert_eq!(answer.status(), 413);
         tx.send(()).await.unwrap();
         assert_eq!(serving.await, LONG, "what is due of the body comes, and nothing else");
@@ -175,10 +175,10 @@
             Box::pin(async move {
                 let _guard = guard;
                 begun.send(()).await.unwrap();
-                futures::future::pending::<Response<AnswerBody>>().await
+                futures::future::pending::<Response<ResponseBody>>().await
             })
         });
-        let serving = server::serve(listener, handler, Bounds::new(8), Rc::downgrade(&executor));
+        let serving = server::serve(listener, handler, ServerLimits::new(8), Rc::downgrade(&executor));
         executor.spawn(serving).detach();
         let mut caller = TcpStream::connect(std::net::SocketAddr::V4(address)).await.unwrap();
         caller.write_all(b"GET / HTTP/1.1\r\nhost: test\r\n\r\n").await.unwrap();
@@ -197,9 +197,11 @@
         let noting = taken.clone();
         let handler: server::Handler = Rc::new(move |request| {
             noting.borrow_mut().push(request.uri().path().into());
-            Box::pin(async { Response::new(AnswerBody::whole("ok")) })
+            Box::pin(async { Response::new(ResponseBody::full("ok")) })
         });
-        executor.spawn(server::serve(listener, handler, Bounds::new(8), Rc::downgrade(&executor))).detach();
+        executor
+            .spawn(server::serve(listener, handler, ServerLimits::new(8), Rc::downgrade(&executor)))
+            .detach();
         let long = format!("GET / HTTP/1.1\r\nhost: test\r\nx: {}\r\n\r\n", "y".repeat(40_000));
         for bad in
             ["no request at all\r\n\r\n", "GET /\r\n\r\n", "GET / HTTP/1.1\r\nbad header\r\n\r\n", &long]
@@ -221,11 +223,11 @@
     run(|executor| async move {
         let (listener, address) = bind().await;
         let handler: server::Handler =
-            Rc::new(|_| Box::pin(async { Response::new(AnswerBody::whole("ok")) }));
-        let bounds = Bounds::new(8);
-        bounds.head_time.set(Duration::from_millis(20));
-        bounds.idle.set(Duration::from_hours(1));
-        executor.spawn(server::serve(listener, handler, bounds, Rc::downgrade(&executor))).detach();
+            Rc::new(|_| Box::pin(async { Response::new(ResponseBody::full("ok")) }));
+        let limits = ServerLimits::new(8);
+        limits.head_timeout.set(Duration::from_millis(20));
+        limits.idle_timeout.set(Duration::from_hours(1));
+        executor.spawn(server::serve(listener, handler, limits, Rc::downgrade(&executor))).detach();
         let address = std::net::SocketAddr::V4(address);
         let mut idle = TcpStream::connect(address).await.unwrap();
         let mut slow = TcpStream::connect(address).await.unwrap();
@@ -246,26 +248,26 @@
     run(|_| async move {
         let (listener, address) = bind().await;
         let address = std::net::SocketAddr::V4(address);
-        let gate = Gate::new("a test");
+        let limiter = ConnectionLimiter::new("a test");
         let connect = || TcpStream::connect(address);
         let (_first, _second) = (connect().await.unwrap(), connect().await.unwrap());
-        let (_, first) = gate.admit(&listener, || 2).await;
-        let (_, second) = gate.admit(&listener, || 2).await;
+        let (_, first) = limiter.accept(&listener, || 2).await;
+        let (_, second) = limiter.accept(&listener, || 2).await;
         let mut third = connect().await.unwrap();
         let mut end = Vec::new();
         let closed = async {
             let _ = third.read_to_end(&mut end).await;
         };
-        let admitting = gate.admit(&listener, || 2);
+        let admitting = limiter.accept(&listener, || 2);
         // The gate never admits the third; it is polled so that it closes it.
         assert!(matches!(select(pin!(admitting), pin!(closed)).await, Either::Right(_)));
         drop(first);
         drop(second);
-        assert_eq!(gate.open(), 0, "both places are free again");
+        assert_eq!(limiter.open_connections(), 0, "both places are free again");
         let (_fourth, _fifth) = (connect().await.unwrap(), connect().await.unwrap());
-        let _fourth = gate.admit(&listener, || 2).await;
-        let _fifth = gate.admit(&listener, || 2).await;
-        assert_eq!(gate.open(), 2);
+        let _fourth = limiter.accept(&listener, || 2).await;
+        let _fifth = limiter.accept(&listener, || 2).await;
+        assert_eq!(limiter.open_connections(), 2);
     });
 }
 
@@ -279,6 +281,6 @@
     let told = ["timeout=10", "max=5, Timeout = 3", "timeout=3600", "timeout=0"];
     assert_eq!(told.map(bound), [6_000, 1_800, 6_000, 0]);
     let untold = ["", "max=5", "timeout=soon", "timeout=-1", "timeout=1.5"];
-    assert!(untold.map(bound).iter().all(|bound| *bound == FRESH.as_millis()));
-    assert_eq!(idle_bound(&http::HeaderMap::new()), FRESH);
+    assert!(untold.map(bound).iter().all(|bound| *bound == RECENT_IDLE_LIMIT.as_millis()));
+    assert_eq!(idle_bound(&http::HeaderMap::new()), RECENT_IDLE_LIMIT);
 }
--- a/agatetrestle/src/transport/watch.rs
+++ b/agatetrestle/src/transport/watch.rs
@@ -17,9 +17,9 @@
 
 use crate::clock::Clock;
 use crate::clock::Timestamp;
-use crate::transport::body::AnswerBody;
-use crate::transport::body::Cut;
-use crate::transport::tapped::Tap;
+use crate::transport::body::ResponseBody;
+use crate::transport::body::TruncatedBody;
+use crate::transport::observed::ReadObserver;
 
 /// The state of one connection.
 pub(super) struct Watch {
@@ -49,8 +49,8 @@
     }
 }
 
-impl Tap for Rc<Watch> {
-    fn took(&self, count: usize) {
+impl ReadObserver for Rc<Watch> {
+    fn on_read(&self, count: usize) {
         if count > 0 && self.answering.get() == 0 && self.head_since.get().is_none() {
             self.head_since.set(Some(self.clock.now()));
         }
@@ -68,15 +68,18 @@
 
 /// The body of an answer, with the note that it is not at its end.
 pub(super) struct Watched {
-    pub(super) body: AnswerBody,
+    pub(super) body: ResponseBody,
     pub(super) _answering: Answering,
 }
 
 impl Body for Watched {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedBody;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
