--- a/agatetrestle/benches/metrics.rs
+++ b/agatetrestle/benches/metrics.rs
@@ -5,7 +5,7 @@
 
 use agatetrestle::metrics::Metrics;
 use agatetrestle::ports::Labels;
-use agatetrestle::ports::Measure;
+use agatetrestle::ports::Measurement;
 use agatetrestle::ports::Recorder;
 use criterion::BenchmarkId;
 use criterion::Criterion;
@@ -20,8 +20,8 @@
 
 /// What one streamed token records.
 fn token(metrics: &Metrics, labels: &Labels) {
-    metrics.record(labels, &Measure::BetweenTokens(Duration::from_millis(20)));
-    metrics.record(labels, &Measure::Tokens(1));
+    metrics.record(labels, &Measurement::BetweenTokens(Duration::from_millis(20)));
+    metrics.record(labels, &Measurement::Tokens(1));
 }
 
 fn record_token(c: &mut Criterion) {
@@ -44,7 +44,7 @@
     let metrics = Metrics::new().expect("the exporter is set up once");
     let labels = labels(1);
     c.bench_function("metrics/refusal", |b| {
-        b.iter(|| metrics.record(black_box(&labels[0]), &Measure::Refused("overload")));
+        b.iter(|| metrics.record(black_box(&labels[0]), &Measurement::Refused("overload")));
     });
 }
 
@@ -66,16 +66,16 @@
 fn all_measures(metrics: &Metrics, labels: &Labels) {
     let time = Duration::from_millis(20);
     for measure in [
-        Measure::ProgramLatency(time),
-        Measure::FirstToken(time),
-        Measure::BetweenTokens(time),
-        Measure::QueueWait(time),
-        Measure::AddedTime(time),
-        Measure::Commit(time),
-        Measure::Refused("overload"),
-        Measure::Retried("timeout"),
-        Measure::Unknown,
-        Measure::Tokens(1),
+        Measurement::ProgramLatency(time),
+        Measurement::FirstToken(time),
+        Measurement::BetweenTokens(time),
+        Measurement::QueueWait(time),
+        Measurement::AddedTime(time),
+        Measurement::Commit(time),
+        Measurement::Refused("overload"),
+        Measurement::Retried("timeout"),
+        Measurement::UnknownOutcome,
+        Measurement::Tokens(1),
     ] {
         metrics.record(labels, &measure);
     }
--- a/agatetrestle/examples/metrics_memory.rs
+++ b/agatetrestle/examples/metrics_memory.rs
@@ -4,7 +4,7 @@
 
 use agatetrestle::metrics::Metrics;
 use agatetrestle::ports::Labels;
-use agatetrestle::ports::Measure;
+use agatetrestle::ports::Measurement;
 use agatetrestle::ports::Recorder;
 
 const PAIRS: usize = 256;
@@ -19,16 +19,16 @@
 fn record_all(metrics: &Metrics, labels: &Labels) {
     let time = Duration::from_millis(20);
     for measure in [
-        Measure::ProgramLatency(time),
-        Measure::FirstToken(time),
-        Measure::BetweenTokens(time),
-        Measure::QueueWait(time),
-        Measure::AddedTime(time),
-        Measure::Commit(time),
-        Measure::Refused("overload"),
-        Measure::Retried("timeout"),
-        Measure::Unknown,
-        Measure::Tokens(1),
+        Measurement::ProgramLatency(time),
+        Measurement::FirstToken(time),
+        Measurement::BetweenTokens(time),
+        Measurement::QueueWait(time),
+        Measurement::AddedTime(time),
+        Measurement::Commit(time),
+        Measurement::Refused("overload"),
+        Measurement::Retried("timeout"),
+        Measurement::UnknownOutcome,
+        Measurement::Tokens(1),
     ] {
         metrics.record(labels, &measure);
     }
--- a/agatetrestle/src/cli.rs
+++ b/agatetrestle/src/cli.rs
@@ -45,7 +45,7 @@
     /// What to do where a group's files are missing; both flags together are taken for joining, which
     /// can do no harm.
     #[must_use]
-    pub fn missing(&self) -> Missing {
+    pub fn missing_files(&self) -> Missing {
         match (self.bootstrap, self.join) {
             (_, true) => Missing::Join,
             (true, false) => Missing::Bootstrap,
--- a/agatetrestle/src/cli/tests.rs
+++ b/agatetrestle/src/cli/tests.rs
@@ -16,7 +16,8 @@
 
 #[test]
 fn missing_files_are_refused_unless_a_flag_says_otherwise() {
-    let missing = |flags: &[&str]| parse(&[&["--config", "node.yaml"], flags].concat()).unwrap().missing();
+    let missing =
+        |flags: &[&str]| parse(&[&["--config", "node.yaml"], flags].concat()).unwrap().missing_files();
     assert_eq!(missing(&[]), Missing::Refuse);
     assert_eq!(missing(&["--bootstrap"]), Missing::Bootstrap);
     assert_eq!(missing(&["--bootstrap", "--join"]), Missing::Join);
--- a/agatetrestle/src/cluster/encoded.rs
+++ b/agatetrestle/src/cluster/encoded.rs
@@ -7,11 +7,11 @@
 
 use serde::Serialize;
 
-use crate::codec::Packed;
+use crate::codec::Compressed;
 
 /// The newest packed form of one list.
 #[derive(Debug)]
-pub struct EncodedCache<K>(RefCell<Option<(K, Packed)>>);
+pub struct EncodedCache<K>(RefCell<Option<(K, Compressed)>>);
 
 impl<K> Default for EncodedCache<K> {
     fn default() -> Self {
@@ -21,12 +21,12 @@
 
 impl<K: Copy + PartialEq> EncodedCache<K> {
     /// The packed list of an edition, packed now if it is another one than before.
-    pub fn of<T: Serialize>(&self, edition: K, list: impl FnOnce() -> T) -> Packed {
+    pub fn of<T: Serialize>(&self, edition: K, list: impl FnOnce() -> T) -> Compressed {
         let mut held = self.0.borrow_mut();
         match &*held {
             Some((known, packed)) if *known == edition => packed.clone(),
             _ => {
-                let packed = Packed::new(&list());
+                let packed = Compressed::new(&list());
                 *held = Some((edition, packed.clone()));
                 packed
             }
--- a/agatetrestle/src/cluster/message.rs
+++ b/agatetrestle/src/cluster/message.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::codec::Packed;
+use crate::codec::Compressed;
 use crate::control::command::ControlCommand;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
@@ -110,12 +110,12 @@
     /// Revision of the control group.
     pub revision: u64,
     /// The table of routes, a [`crate::control::command::Document`], if its revision is newer than what the process knows.
-    pub routes: Option<(u64, Packed)>,
+    pub routes: Option<(u64, Compressed)>,
     /// How the list of backend servers changed, a [`crate::cluster::backends::BackendChange`], if the process knows another
     /// edition.
-    pub backends: Option<(Edition, Packed)>,
+    pub backends: Option<(Edition, Compressed)>,
     /// The members that the process has to do with, a list of [`Member`], if it knows another edition.
-    pub members: Option<(Edition, Packed)>,
+    pub members: Option<(Edition, Compressed)>,
     /// Number of state groups; 0 before they were founded.
     pub groups: usize,
     /// The first voters of each state group, for a store that is not opened yet.
--- a/agatetrestle/src/cluster/subscriber.rs
+++ b/agatetrestle/src/cluster/subscriber.rs
@@ -167,7 +167,7 @@
             Err(failure) => failure.outcome(),
         };
         self.log.end(contact, outcome);
-        self.recorder.report(outcome.name(), self.clock.now().since(sent));
+        self.recorder.record_report(outcome.name(), self.clock.now().since(sent));
         let update = match answered {
             Ok(update) => update,
             Err(failure @ ReportError::Answer { .. }) => {
--- a/agatetrestle/src/cluster/tests.rs
+++ b/agatetrestle/src/cluster/tests.rs
@@ -30,7 +30,7 @@
 use crate::cluster::voters::Wanted;
 use crate::cluster::voters::lost;
 use crate::cluster::voters::next_change;
-use crate::codec::Packed;
+use crate::codec::Compressed;
 use crate::codec::decode;
 use crate::codec::encode;
 use crate::dispatch::Instance;
@@ -171,9 +171,9 @@
             members.clone()
         })
     };
-    let copies: Vec<Packed> = [1, 1, 1, 2, 2].map(of).into();
+    let copies: Vec<Compressed> = [1, 1, 1, 2, 2].map(of).into();
     assert_eq!(count.get(), 2, "once for each edition");
-    assert!(copies.iter().all(|packed| packed.unpack::<Vec<Member>>().unwrap() == members));
+    assert!(copies.iter().all(|packed| packed.decompress::<Vec<Member>>().unwrap() == members));
     let plain = encode(&members).len();
     assert!(copies[0].size() * 8 < plain, "{} of {plain} bytes", copies[0].size());
 }
@@ -185,13 +185,13 @@
     let update = |count, members| Update {
         confirmed: true,
         groups: 2,
-        backends: Some((edition(count), Packed::new(&BackendChange::Whole(Vec::new())))),
+        backends: Some((edition(count), Compressed::new(&BackendChange::Whole(Vec::new())))),
         members: Some((edition(count), members)),
         ..Update::default()
     };
     let store = member(1, Role::Store);
-    view.adopt(Timestamp(1), update(1, Packed::new(&vec![store.clone()])));
-    view.adopt(Timestamp(2), update(2, Packed::new(&"of another build")));
+    view.adopt(Timestamp(1), update(1, Compressed::new(&vec![store.clone()])));
+    view.adopt(Timestamp(2), update(2, Compressed::new(&"of another build")));
     assert_eq!((view.members(), view.groups()), (vec![store], 2));
     assert_eq!((view.known().members, view.known().backends), (edition(2), edition(2)));
 }
--- a/agatetrestle/src/cluster/view.rs
+++ b/agatetrestle/src/cluster/view.rs
@@ -17,7 +17,7 @@
 use crate::cluster::message::Known;
 use crate::cluster::message::Member;
 use crate::cluster::message::Update;
-use crate::codec::Packed;
+use crate::codec::Compressed;
 use crate::control::command::Document;
 use crate::dispatch::Instance;
 use crate::ids::NodeId;
@@ -174,10 +174,10 @@
 
 /// A part of an update, if it is newer than what is known. What can't be read comes from another build: the process goes on with
 /// what it has, and asks for it no more.
-fn newer<K: Ord, T: DeserializeOwned>(known: &mut K, part: Option<(K, Packed)>) -> Option<T> {
+fn newer<K: Ord, T: DeserializeOwned>(known: &mut K, part: Option<(K, Compressed)>) -> Option<T> {
     let (edition, packed) = part.filter(|(edition, _)| edition > known)?;
     *known = edition;
-    match packed.unpack() {
+    match packed.decompress() {
         Ok(list) => Some(list),
         Err(failure) => {
             warn!("A part of an update can't be read: {failure}.");
--- a/agatetrestle/src/codec.rs
+++ b/agatetrestle/src/codec.rs
@@ -33,7 +33,7 @@
 /// Never for the types of this crate: coding them into memory can't fail.
 #[must_use]
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    encode_large(value, 0)
+    encode_with_capacity(value, 0)
 }
 
 /// Codes a value into a buffer that has room for so many bytes, so that a large value is not copied as it grows.
@@ -42,7 +42,7 @@
 ///
 /// As [`encode`].
 #[must_use]
-pub fn encode_large<T: Serialize>(value: &T, room: usize) -> Vec<u8> {
+pub fn encode_with_capacity<T: Serialize>(value: &T, room: usize) -> Vec<u8> {
     let mut buf = Vec::with_capacity(room);
     ciborium::into_writer(value, &mut buf).expect("writing to memory does not fail");
     buf
@@ -60,11 +60,11 @@
 /// A coded value, compressed. Lists that are told to hundreds of processes are packed once and shared by all answers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
-pub struct Packed(Blob);
+pub struct Compressed(Blob);
 
-/// Packed bytes that can't be unpacked into what was expected.
+/// Compressed bytes that can't be unpacked into what was expected.
 #[derive(Debug, Snafu)]
-pub enum UnpackError {
+pub enum DecompressError {
     /// They are no compressed bytes, or more than any list takes.
     #[snafu(display("the bytes can't be inflated: {source}"))]
     Inflate {
@@ -80,9 +80,9 @@
 }
 
 /// Most bytes that packed ones may come to: a table of ten thousand routes takes a third of it.
-const MOST_UNPACKED: u64 = 16 << 20;
+const MAX_DECOMPRESSED_BYTES: u64 = 16 << 20;
 
-impl Packed {
+impl Compressed {
     /// Codes and compresses a value.
     ///
     /// # Panics
@@ -101,9 +101,9 @@
     /// # Errors
     ///
     /// Fails if the bytes are torn or of another shape.
-    pub fn unpack<T: DeserializeOwned>(&self) -> Result<T, UnpackError> {
+    pub fn decompress<T: DeserializeOwned>(&self) -> Result<T, DecompressError> {
         let mut bytes = Vec::new();
-        let inflated = DeflateDecoder::new(&self.0[..]).take(MOST_UNPACKED).read_to_end(&mut bytes);
+        let inflated = DeflateDecoder::new(&self.0[..]).take(MAX_DECOMPRESSED_BYTES).read_to_end(&mut bytes);
         inflated.context(InflateSnafu)?;
         decode(&bytes).context(ShapeSnafu)
     }
--- a/agatetrestle/src/control/lease.rs
+++ b/agatetrestle/src/control/lease.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Timestamp;
 use crate::control::command::Configuration;
-use crate::ports::NotTaking;
+use crate::ports::NotTakingWork;
 
 /// The configuration in force with the lease on it. The revision never falls.
 #[derive(Clone, Debug, Default)]
@@ -53,10 +53,10 @@
     /// # Errors
     ///
     /// Says whether the lease was never had or has run out.
-    pub fn taking(&self, now: Timestamp) -> Result<(), NotTaking> {
+    pub fn taking(&self, now: Timestamp) -> Result<(), NotTakingWork> {
         match self.until {
-            None => Err(NotTaking::Starting),
-            Some(until) if now >= until => Err(NotTaking::Isolated),
+            None => Err(NotTakingWork::Starting),
+            Some(until) if now >= until => Err(NotTakingWork::Isolated),
             Some(_) => Ok(()),
         }
     }
--- a/agatetrestle/src/control/tests.rs
+++ b/agatetrestle/src/control/tests.rs
@@ -10,7 +10,7 @@
 use crate::control::lease::InForce;
 use crate::control::state::ControlState;
 use crate::ids::NodeId;
-use crate::ports::NotTaking;
+use crate::ports::NotTakingWork;
 
 fn apply(scope: &str, text: &str, expected: u64, change_id: &str) -> ControlCommand {
     ControlCommand::Apply { scope: scope.into(), text: text.into(), expected, change_id: change_id.into() }
@@ -84,9 +84,9 @@
 #[test]
 fn a_node_takes_no_work_before_the_revision_is_confirmed() {
     let mut in_force = InForce::default();
-    assert_eq!(in_force.taking(Timestamp(0)), Err(NotTaking::Starting));
+    assert_eq!(in_force.taking(Timestamp(0)), Err(NotTakingWork::Starting));
     in_force.renew(Timestamp(0), LEASE, DRIFT, 3);
-    assert_eq!(in_force.taking(Timestamp(1)), Err(NotTaking::Starting), "revision 3 is not here yet");
+    assert_eq!(in_force.taking(Timestamp(1)), Err(NotTakingWork::Starting), "revision 3 is not here yet");
     assert!(in_force.adopt(revision(3)));
     in_force.renew(Timestamp(0), LEASE, DRIFT, 3);
     assert_eq!(in_force.taking(Timestamp(1)), Ok(()));
@@ -97,7 +97,7 @@
     let mut in_force = InForce::default();
     in_force.renew(Timestamp(0), LEASE, DRIFT, 0);
     assert_eq!(in_force.taking(Timestamp(3_969_999)), Ok(()));
-    assert_eq!(in_force.taking(Timestamp(3_970_000)), Err(NotTaking::Isolated));
+    assert_eq!(in_force.taking(Timestamp(3_970_000)), Err(NotTakingWork::Isolated));
 }
 
 #[test]
--- a/agatetrestle/src/deployment/control.rs
+++ b/agatetrestle/src/deployment/control.rs
@@ -30,7 +30,7 @@
 use crate::deployment::serve_http;
 use crate::deployment::timing;
 use crate::ids::CONTROL_GROUP;
-use crate::ids::MOST_STATE_GROUPS;
+use crate::ids::MAX_STATE_GROUPS;
 use crate::ids::NodeId;
 use crate::node::NodeError;
 use crate::node::group::Group;
@@ -176,7 +176,7 @@
 /// The first voters of as many groups as the stores can carry with some to spare. Each group has one leader, which bounds
 /// how many turns it takes, and a store takes part in one group, whose turns may fill its memory.
 pub(super) fn founders(mut stores: Vec<Candidate>, wanted: usize) -> Vec<BTreeSet<NodeId>> {
-    let count = (stores.len() / (wanted + SPARE_STORES)).clamp(1, MOST_STATE_GROUPS);
+    let count = (stores.len() / (wanted + SPARE_STORES)).clamp(1, MAX_STATE_GROUPS);
     (0..count).map(|_| spread(&mut stores, wanted)).collect()
 }
 
--- a/agatetrestle/src/deployment/listing.rs
+++ b/agatetrestle/src/deployment/listing.rs
@@ -126,7 +126,7 @@
     /// Says how many entries can't be read, once each time that changes, and counts them.
     fn note_unreadable(&self, before: &mut usize, now: usize) {
         if now > 0 {
-            self.recorder.unreadable(u64::try_from(now).unwrap_or(u64::MAX));
+            self.recorder.record_malformed(u64::try_from(now).unwrap_or(u64::MAX));
         }
         if std::mem::replace(before, now) != now {
             warn!(
--- a/agatetrestle/src/deployment/mod.rs
+++ b/agatetrestle/src/deployment/mod.rs
@@ -249,7 +249,7 @@
             recorder: self.metrics.clone(),
             notify: smol::channel::bounded(1),
         });
-        self.metrics.watch_freshness(subscriber.clone());
+        self.metrics.observe_freshness(subscriber.clone());
         self.executor.spawn(subscriber.clone().run()).detach();
         let (watched, file) = (subscriber.clone(), self.file.clone());
         self.executor.spawn(async move { watched.reload_when_lost(&file).await }).detach();
--- a/agatetrestle/src/deployment/overview.rs
+++ b/agatetrestle/src/deployment/overview.rs
@@ -27,7 +27,7 @@
 /// No control replica of the settings answered as the leader.
 #[derive(Debug, Snafu)]
 #[snafu(display("no control replica leads: {answers}"))]
-pub struct NoLeader {
+pub struct NoLeaderError {
     answers: Arc<str>,
 }
 
@@ -39,7 +39,7 @@
 pub async fn overview(
     settings: &Deployment,
     executor: Rc<LocalExecutor<'static>>,
-) -> Result<Overview, NoLeader> {
+) -> Result<Overview, NoLeaderError> {
     let links = Links::new(TOOL, PEER_CALL, &executor);
     let question = encode(&ControlRequest::Overview);
     let mut answers = Vec::new();
@@ -58,5 +58,5 @@
         };
         answers.push(format!("{address}: {answer}"));
     }
-    Err(NoLeader { answers: answers.join("; ").into() })
+    Err(NoLeaderError { answers: answers.join("; ").into() })
 }
--- a/agatetrestle/src/entry/call_task.rs
+++ b/agatetrestle/src/entry/call_task.rs
@@ -27,7 +27,7 @@
 use crate::ids::AttemptId;
 use crate::ports::GroupError;
 use crate::ports::Labels;
-use crate::ports::Measure;
+use crate::ports::Measurement;
 use crate::programs::command::Answer;
 use crate::programs::command::ProgramCommand;
 use crate::programs::command::ProgramReply;
@@ -102,8 +102,8 @@
     fn on_event(&self, bytes: &[u8]) {
         let now = self.server.clock.now();
         let measure = match self.last_chunk_at.replace(Some(now)) {
-            None => Measure::FirstToken(now.since(self.arrived_at)),
-            Some(previous) => Measure::BetweenTokens(now.since(previous)),
+            None => Measurement::FirstToken(now.since(self.arrived_at)),
+            Some(previous) => Measurement::BetweenTokens(now.since(previous)),
         };
         self.server.recorder.record(&self.labels.borrow(), &measure);
         self.sender.send_chunk(bytes);
@@ -184,7 +184,7 @@
         if let Ok(ProgramReply::Done(view)) = &reply {
             self.server.state.recent.update(view);
             let labels = Labels { class: view.spec.class.clone(), ..self.labels.borrow().clone() };
-            self.server.recorder.record(&labels, &Measure::Commit(latency));
+            self.server.recorder.record(&labels, &Measurement::Commit(latency));
         }
         reply
     }
@@ -194,7 +194,7 @@
         match problem.outcome {
             RunOutcome::NotRun => routes::record_refusal(self.server, &labels, problem),
             RunOutcome::Unknown => {
-                self.server.recorder.record(&labels, &Measure::Unknown);
+                self.server.recorder.record(&labels, &Measurement::UnknownOutcome);
                 problem
             }
         }
@@ -202,10 +202,10 @@
 
     pub(super) fn record_answer(&self, reply: &BackendReply) {
         let (recorder, labels) = (&self.server.recorder, self.labels.borrow());
-        recorder.record(&labels, &Measure::Tokens(reply.usage.output));
+        recorder.record(&labels, &Measurement::Tokens(reply.usage.output));
         if self.last_chunk_at.get().is_none() {
             let latency = self.server.clock.now().since(self.arrived_at);
-            recorder.record(&labels, &Measure::FirstToken(latency));
+            recorder.record(&labels, &Measurement::FirstToken(latency));
         }
     }
 
@@ -213,10 +213,10 @@
         let (recorder, labels) = (&self.server.recorder, self.labels.borrow());
         let total = self.server.clock.now().since(self.arrived_at);
         let waited = times.queue_time + times.service_time + self.commit_time.get();
-        recorder.record(&labels, &Measure::QueueWait(times.queue_time));
-        recorder.record(&labels, &Measure::AddedTime(total.saturating_sub(waited)));
+        recorder.record(&labels, &Measurement::QueueWait(times.queue_time));
+        recorder.record(&labels, &Measurement::AddedTime(total.saturating_sub(waited)));
         for _ in 1..times.attempts {
-            recorder.record(&labels, &Measure::Retried("failed"));
+            recorder.record(&labels, &Measurement::Retried("failed"));
         }
     }
 }
--- a/agatetrestle/src/entry/problem.rs
+++ b/agatetrestle/src/entry/problem.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::ids::CallNumber;
-use crate::ports::NotTaking;
+use crate::ports::NotTakingWork;
 use crate::programs::command::Refusal;
 use crate::scheduler::event::RefusalReason;
 
@@ -247,12 +247,12 @@
     }
 }
 
-impl From<NotTaking> for Problem {
-    fn from(cause: NotTaking) -> Self {
+impl From<NotTakingWork> for Problem {
+    fn from(cause: NotTakingWork) -> Self {
         let reason = match cause {
-            NotTaking::Starting => ProblemReason::Starting,
-            NotTaking::Isolated => ProblemReason::Isolated,
-            NotTaking::Stopping => ProblemReason::Stopping,
+            NotTakingWork::Starting => ProblemReason::Starting,
+            NotTakingWork::Isolated => ProblemReason::Isolated,
+            NotTakingWork::Stopping => ProblemReason::Stopping,
         };
         Self::not_run(503, reason, cause.to_string()).retry_after(Duration::from_secs(1))
     }
--- a/agatetrestle/src/entry/programs.rs
+++ b/agatetrestle/src/entry/programs.rs
@@ -21,7 +21,7 @@
 use crate::ids::RequestKey;
 use crate::ports::GroupError;
 use crate::ports::Labels;
-use crate::ports::Measure;
+use crate::ports::Measurement;
 use crate::programs::command::Answer;
 use crate::programs::command::ProgramCommand;
 use crate::programs::command::ProgramQuery;
@@ -182,7 +182,7 @@
     let finished_at = if answered_at > 0 { answered_at } else { unix_millis() };
     let latency = Duration::from_millis(finished_at.saturating_sub(view.opened_at));
     let labels = Labels { partner: view.program.partner.clone(), class: view.spec.class.clone() };
-    server.recorder.record(&labels, &Measure::ProgramLatency(latency));
+    server.recorder.record(&labels, &Measurement::ProgramLatency(latency));
 }
 
 /// Returns the stored answer to an earlier request.
--- a/agatetrestle/src/entry/routes.rs
+++ b/agatetrestle/src/entry/routes.rs
@@ -17,8 +17,8 @@
 use crate::ids::ProgramId;
 use crate::ids::RequestKey;
 use crate::ports::Labels;
-use crate::ports::Measure;
-use crate::ports::NotTaking;
+use crate::ports::Measurement;
+use crate::ports::NotTakingWork;
 
 const SERVICES_PATH: &str = "/v1/services/";
 const MAX_KEY_BYTES: usize = 256;
@@ -77,7 +77,7 @@
 /// Fails while the node is starting, isolated or stopping.
 pub fn require_accepting_work(server: &ApiServer) -> Result<(), Problem> {
     if server.stopping.get() {
-        return Err(NotTaking::Stopping.into());
+        return Err(NotTakingWork::Stopping.into());
     }
     server.control.taking_work()?;
     Ok(())
@@ -85,7 +85,7 @@
 
 /// Counts a refusal in the metrics and returns it.
 pub fn record_refusal(server: &ApiServer, labels: &Labels, problem: Problem) -> Problem {
-    server.recorder.record(labels, &Measure::Refused(problem.label()));
+    server.recorder.record(labels, &Measurement::Refused(problem.label()));
     problem
 }
 
--- a/agatetrestle/src/gateway/access_log.rs
+++ b/agatetrestle/src/gateway/access_log.rs
@@ -9,7 +9,7 @@
 
 use crate::gateway::Gateway;
 use crate::ports::Labels;
-use crate::ports::Measure;
+use crate::ports::Measurement;
 
 /// Logged as the status if the caller received no response.
 pub(super) const NO_STATUS: u16 = 0;
@@ -66,22 +66,22 @@
     fn record_metrics(&self, gateway: &Gateway, status: u16) {
         let labels = Labels { partner: self.service.clone(), class: self.route.clone() };
         let record = |measure| gateway.recorder.record(&labels, &measure);
-        record(Measure::QueueWait(self.queue_time));
+        record(Measurement::QueueWait(self.queue_time));
         if !self.reserve_time.is_zero() {
-            record(Measure::Commit(self.reserve_time));
+            record(Measurement::Commit(self.reserve_time));
         }
         if !self.head_time.is_zero() {
-            record(Measure::FirstToken(self.head_time));
+            record(Measurement::FirstToken(self.head_time));
         }
         for _ in 1..self.tries {
-            record(Measure::Retried("failed"));
+            record(Measurement::Retried("failed"));
         }
         match StatusCode::from_u16(status) {
-            Ok(StatusCode::SERVICE_UNAVAILABLE) => record(Measure::Refused("overload")),
-            Ok(StatusCode::TOO_MANY_REQUESTS) => record(Measure::Refused("allowance")),
-            Ok(StatusCode::UNAUTHORIZED) => record(Measure::Refused("key")),
-            Ok(StatusCode::PAYMENT_REQUIRED) => record(Measure::Refused("budget")),
-            Ok(StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT) => record(Measure::Unknown),
+            Ok(StatusCode::SERVICE_UNAVAILABLE) => record(Measurement::Refused("overload")),
+            Ok(StatusCode::TOO_MANY_REQUESTS) => record(Measurement::Refused("allowance")),
+            Ok(StatusCode::UNAUTHORIZED) => record(Measurement::Refused("key")),
+            Ok(StatusCode::PAYMENT_REQUIRED) => record(Measurement::Refused("budget")),
+            Ok(StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT) => record(Measurement::UnknownOutcome),
             _ => {}
         }
     }
--- a/agatetrestle/src/ids.rs
+++ b/agatetrestle/src/ids.rs
@@ -23,11 +23,11 @@
 pub const FIRST_STATE_GROUP: GroupId = GroupId(1);
 
 /// Most state groups of a deployment. At 700 turns a second each, 24 carry the size that the project is designed for.
-pub const MOST_STATE_GROUPS: usize = 32;
+pub const MAX_STATE_GROUPS: usize = 32;
 
 /// All numbers that a state group may have, in order.
 pub fn state_groups() -> impl Iterator<Item = GroupId> {
-    (FIRST_STATE_GROUP.0..).take(MOST_STATE_GROUPS).map(GroupId)
+    (FIRST_STATE_GROUP.0..).take(MAX_STATE_GROUPS).map(GroupId)
 }
 
 /// Identity of a program. The partner is part of it, so that two partners' programs can't meet.
--- a/agatetrestle/src/main.rs
+++ b/agatetrestle/src/main.rs
@@ -31,7 +31,7 @@
         Err(failure) => return refuse(&failure),
     };
     let executor = Rc::new(LocalExecutor::new());
-    match smol::block_on(executor.run(run(settings, executor.clone(), options.missing()))) {
+    match smol::block_on(executor.run(run(settings, executor.clone(), options.missing_files()))) {
         Ok(code) => code,
         Err(failure) => refuse(&failure),
     }
--- a/agatetrestle/src/metrics/instruments.rs
+++ b/agatetrestle/src/metrics/instruments.rs
@@ -13,7 +13,7 @@
 use crate::metrics::series::Series;
 use crate::ports::Control;
 use crate::ports::Freshness;
-use crate::ports::Measure;
+use crate::ports::Measurement;
 
 const PROGRAM_SECONDS: &[f64] =
     &[0.25, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 30.0, 60.0, 120.0, 300.0, 600.0, 1200.0, 3600.0];
@@ -113,18 +113,18 @@
         }
     }
 
-    pub(super) fn record(&self, series: &mut Series, measure: &Measure) {
+    pub(super) fn record(&self, series: &mut Series, measure: &Measurement) {
         match measure {
-            Measure::ProgramLatency(time) => time_in(&self.program_latency, series, *time),
-            Measure::FirstToken(time) => time_in(&self.first_token, series, *time),
-            Measure::BetweenTokens(time) => time_in(&self.between_tokens, series, *time),
-            Measure::QueueWait(time) => time_in(&self.queue_wait, series, *time),
-            Measure::AddedTime(time) => time_in(&self.added_time, series, *time),
-            Measure::Commit(time) => time_in(&self.commit, series, *time),
-            Measure::Refused(reason) => self.refused.add(1, series.with_reason(reason)),
-            Measure::Retried(reason) => self.retried.add(1, series.with_reason(reason)),
-            Measure::Unknown => self.unknown.add(1, &series.attributes),
-            Measure::Tokens(count) => self.tokens.add(*count, &series.attributes),
+            Measurement::ProgramLatency(time) => time_in(&self.program_latency, series, *time),
+            Measurement::FirstToken(time) => time_in(&self.first_token, series, *time),
+            Measurement::BetweenTokens(time) => time_in(&self.between_tokens, series, *time),
+            Measurement::QueueWait(time) => time_in(&self.queue_wait, series, *time),
+            Measurement::AddedTime(time) => time_in(&self.added_time, series, *time),
+            Measurement::Commit(time) => time_in(&self.commit, series, *time),
+            Measurement::Refused(reason) => self.refused.add(1, series.with_reason(reason)),
+            Measurement::Retried(reason) => self.retried.add(1, series.with_reason(reason)),
+            Measurement::UnknownOutcome => self.unknown.add(1, &series.attributes),
+            Measurement::Tokens(count) => self.tokens.add(*count, &series.attributes),
         }
     }
 
@@ -140,15 +140,15 @@
         }
     }
 
-    pub(super) fn report(&self, outcome: &'static str, took: Duration) {
+    pub(super) fn record_report(&self, outcome: &'static str, took: Duration) {
         self.reports.record(took.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
     }
 
-    pub(super) fn unreadable(&self, entries: u64) {
+    pub(super) fn record_malformed(&self, entries: u64) {
         self.unreadable.add(entries, &[]);
     }
 
-    pub(super) fn cache(&self, held: u64, wasted: u64) {
+    pub(super) fn record_cache(&self, held: u64, wasted: u64) {
         self.cache_held.record(held, &[]);
         self.cache_wasted.record(wasted, &[]);
     }
--- a/agatetrestle/src/metrics/mod.rs
+++ b/agatetrestle/src/metrics/mod.rs
@@ -27,7 +27,7 @@
 use crate::ports::Control;
 use crate::ports::Freshness;
 use crate::ports::Labels;
-use crate::ports::Measure;
+use crate::ports::Measurement;
 use crate::ports::Recorder;
 
 /// Why metrics could not be set up or written out.
@@ -85,12 +85,12 @@
     }
 
     /// Lets each scrape tell what is in force and whether new work is taken.
-    pub fn watch(&self, control: Rc<dyn Control>) {
+    pub fn observe_control(&self, control: Rc<dyn Control>) {
         self.control.replace(Some(control));
     }
 
     /// Lets each scrape tell which table of routes is in force and how long ago the leader of control confirmed it.
-    pub fn watch_freshness(&self, freshness: Rc<dyn Freshness>) {
+    pub fn observe_freshness(&self, freshness: Rc<dyn Freshness>) {
         self.freshness.replace(Some(freshness));
     }
 
@@ -113,21 +113,21 @@
 }
 
 impl Recorder for Metrics {
-    fn record(&self, labels: &Labels, measure: &Measure) {
+    fn record(&self, labels: &Labels, measure: &Measurement) {
         let mut series = self.series.borrow_mut();
         self.instruments.record(series.of(labels), measure);
     }
 
-    fn cache(&self, held: u64, wasted: u64) {
-        self.instruments.cache(held, wasted);
+    fn record_cache(&self, held: u64, wasted: u64) {
+        self.instruments.record_cache(held, wasted);
     }
 
-    fn report(&self, outcome: &'static str, took: Duration) {
-        self.instruments.report(outcome, took);
+    fn record_report(&self, outcome: &'static str, took: Duration) {
+        self.instruments.record_report(outcome, took);
     }
 
-    fn unreadable(&self, entries: u64) {
-        self.instruments.unreadable(entries);
+    fn record_malformed(&self, entries: u64) {
+        self.instruments.record_malformed(entries);
     }
 }
 
--- a/agatetrestle/src/metrics/series.rs
+++ b/agatetrestle/src/metrics/series.rs
@@ -6,14 +6,14 @@
 
 use crate::ports::Labels;
 
-/// Pairs of partner and class that get series of their own; the rest is counted under [`OTHER`].
-pub const MAX_LABELS: usize = 256;
+/// Pairs of partner and class that get series of their own; the rest is counted under [`OTHER_LABEL`].
+pub const MAX_LABEL_PAIRS: usize = 256;
 
-/// Reasons that one pair may have series for; the rest is counted under [`OTHER`].
-pub const MAX_REASONS: usize = 16;
+/// Reasons that one pair may have series for; the rest is counted under [`OTHER_LABEL`].
+pub const MAX_REASONS_PER_PAIR: usize = 16;
 
 /// Label value for whatever came after the bounds were reached.
-pub const OTHER: &str = "other";
+pub const OTHER_LABEL: &str = "other";
 
 /// Attributes of one pair of partner and class.
 pub(super) struct Series {
@@ -36,10 +36,10 @@
     }
 
     fn add(&mut self, reason: &'static str) -> usize {
-        if self.reasons.len() > MAX_REASONS {
-            return MAX_REASONS;
+        if self.reasons.len() > MAX_REASONS_PER_PAIR {
+            return MAX_REASONS_PER_PAIR;
         }
-        let name = if self.reasons.len() == MAX_REASONS { OTHER } else { reason };
+        let name = if self.reasons.len() == MAX_REASONS_PER_PAIR { OTHER_LABEL } else { reason };
         let [partner, class] = self.attributes.clone();
         self.reasons.push((name, [partner, class, KeyValue::new("reason", name)]));
         self.reasons.len() - 1
@@ -57,10 +57,10 @@
         if self.known.contains_key(labels) {
             return self.known.get_mut(labels).expect("it was there a line above");
         }
-        let labels = if self.known.len() < MAX_LABELS {
+        let labels = if self.known.len() < MAX_LABEL_PAIRS {
             labels.clone()
         } else {
-            Labels { partner: OTHER.into(), class: OTHER.into() }
+            Labels { partner: OTHER_LABEL.into(), class: OTHER_LABEL.into() }
         };
         self.known.entry(labels).or_insert_with_key(Series::new)
     }
--- a/agatetrestle/src/metrics/tests.rs
+++ b/agatetrestle/src/metrics/tests.rs
@@ -16,9 +16,9 @@
 use crate::control::command::Configuration;
 use crate::control::command::ControlCommand;
 use crate::control::command::ControlReply;
-use crate::metrics::series::MAX_LABELS;
+use crate::metrics::series::MAX_LABEL_PAIRS;
 use crate::ports::GroupError;
-use crate::ports::NotTaking;
+use crate::ports::NotTakingWork;
 
 fn labels(partner: &str, class: &str) -> Labels {
     Labels { partner: partner.into(), class: class.into() }
@@ -50,23 +50,23 @@
     let one = labels("vrsta", "dawn");
     let time = Duration::from_millis(48);
     for measure in [
-        Measure::ProgramLatency(time),
-        Measure::FirstToken(time),
-        Measure::BetweenTokens(time),
-        Measure::QueueWait(time),
-        Measure::AddedTime(time),
-        Measure::Commit(time),
-        Measure::Refused("overload"),
-        Measure::Retried("timeout"),
-        Measure::Unknown,
-        Measure::Tokens(7),
+        Measurement::ProgramLatency(time),
+        Measurement::FirstToken(time),
+        Measurement::BetweenTokens(time),
+        Measurement::QueueWait(time),
+        Measurement::AddedTime(time),
+        Measurement::Commit(time),
+        Measurement::Refused("overload"),
+        Measurement::Retried("timeout"),
+        Measurement::UnknownOutcome,
+        Measurement::Tokens(7),
     ] {
         metrics.record(&one, &measure);
     }
-    metrics.cache(100, 3);
-    metrics.unreadable(2);
-    metrics.report("timeout", time);
-    metrics.watch_freshness(Rc::new(Known));
+    metrics.record_cache(100, 3);
+    metrics.record_malformed(2);
+    metrics.record_report("timeout", time);
+    metrics.observe_freshness(Rc::new(Known));
     let text = rendered(&metrics);
     let kept = text.lines().filter(|line| !line.contains("_bucket{"));
     insta::assert_snapshot!(kept.collect::<Vec<_>>().join("\n"));
@@ -75,7 +75,7 @@
 #[test]
 fn a_gap_at_the_target_falls_into_the_bucket_of_the_target() {
     let metrics = Metrics::new().unwrap();
-    metrics.record(&labels("vrsta", "dawn"), &Measure::BetweenTokens(Duration::from_millis(48)));
+    metrics.record(&labels("vrsta", "dawn"), &Measurement::BetweenTokens(Duration::from_millis(48)));
     let buckets = lines_of(&rendered(&metrics), "agatetrestle_between_tokens_seconds_bucket");
     let count_at = |bound: &str| {
         let bound = format!("le=\"{bound}\"");
@@ -88,11 +88,11 @@
 #[test]
 fn labels_beyond_the_bound_share_one_series() {
     let metrics = Metrics::new().unwrap();
-    for i in 0..MAX_LABELS + 50 {
-        metrics.record(&labels("lernwerk", &format!("class-{i}")), &Measure::Unknown);
+    for i in 0..MAX_LABEL_PAIRS + 50 {
+        metrics.record(&labels("lernwerk", &format!("class-{i}")), &Measurement::UnknownOutcome);
     }
     let series = lines_of(&rendered(&metrics), "agatetrestle_unknown_total");
-    assert_eq!(series.len(), MAX_LABELS + 1);
+    assert_eq!(series.len(), MAX_LABEL_PAIRS + 1);
     let other = series.iter().find(|line| line.contains("class=\"other\"")).unwrap();
     assert!(other.ends_with(" 50"), "{other}");
 }
@@ -103,10 +103,10 @@
         ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r", "s", "t"];
     let metrics = Metrics::new().unwrap();
     for name in NAMES {
-        metrics.record(&labels("vrsta", "dawn"), &Measure::Refused(name));
+        metrics.record(&labels("vrsta", "dawn"), &Measurement::Refused(name));
     }
     let series = lines_of(&rendered(&metrics), "agatetrestle_refused_total");
-    assert_eq!(series.len(), series::MAX_REASONS + 1);
+    assert_eq!(series.len(), series::MAX_REASONS_PER_PAIR + 1);
     let other = series.iter().find(|line| line.contains("reason=\"other\"")).unwrap();
     assert!(other.ends_with(" 4"), "{other}");
 }
@@ -127,8 +127,8 @@
         Arc::new(Configuration { revision, ..Configuration::default() })
     }
 
-    fn taking_work(&self) -> Result<(), NotTaking> {
-        if self.confirmed.get() { Ok(()) } else { Err(NotTaking::Starting) }
+    fn taking_work(&self) -> Result<(), NotTakingWork> {
+        if self.confirmed.get() { Ok(()) } else { Err(NotTakingWork::Starting) }
     }
 }
 
@@ -136,7 +136,7 @@
 fn each_scrape_tells_what_is_in_force_and_whether_work_is_taken() {
     let metrics = Metrics::new().unwrap();
     let control = Rc::new(FakeControl::default());
-    metrics.watch(control.clone());
+    metrics.observe_control(control.clone());
     let told = |metrics: &Metrics| {
         let text = rendered(metrics);
         let names = ["agatetrestle_configuration_revision", "agatetrestle_taking_work"];
@@ -151,7 +151,7 @@
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let metrics = Rc::new(Metrics::new().unwrap());
-        metrics.record(&labels("vrsta", "dawn"), &Measure::Unknown);
+        metrics.record(&labels("vrsta", "dawn"), &Measurement::UnknownOutcome);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         executor.spawn(serve(metrics, listener, Rc::clone(&executor))).detach();
--- a/agatetrestle/src/node/control_port.rs
+++ b/agatetrestle/src/node/control_port.rs
@@ -19,7 +19,7 @@
 use crate::node::router::Router;
 use crate::ports::Control;
 use crate::ports::GroupError;
-use crate::ports::NotTaking;
+use crate::ports::NotTakingWork;
 
 /// What is in force on this node, with a way to change it.
 pub struct ControlPort {
@@ -67,9 +67,9 @@
         self.in_force.borrow().configuration()
     }
 
-    fn taking_work(&self) -> Result<(), NotTaking> {
+    fn taking_work(&self) -> Result<(), NotTakingWork> {
         if self.stopping.get() {
-            return Err(NotTaking::Stopping);
+            return Err(NotTakingWork::Stopping);
         }
         self.in_force.borrow().taking(self.clock.now())
     }
--- a/agatetrestle/src/node/mod.rs
+++ b/agatetrestle/src/node/mod.rs
@@ -123,7 +123,7 @@
         links.set_receivers(replicas.receivers());
         let metrics = Rc::new(Metrics::new().context(MetricsSnafu)?);
         let assembly = Assembly::new(&settings, &addresses, clock, &links, &replicas, &metrics);
-        metrics.watch(assembly.control.clone());
+        metrics.observe_control(assembly.control.clone());
         let entry = Rc::new(assembly.entry(&metrics));
         let mut tasks = std::mem::take(&mut replicas.tasks);
         let peers = assembly.peer_server(&replicas);
--- a/agatetrestle/src/operator/difference.rs
+++ b/agatetrestle/src/operator/diff.rs
@@ -1,21 +1,21 @@
 //! A small line difference, so that the loser of a race sees what changed under its hands.
 
 /// Lines beyond which texts are no longer compared line by line, because the table grows with the product.
-pub const MAX_LINES: usize = 1_000;
+pub const MAX_DIFF_LINES: usize = 1_000;
 
 /// Returns the lines that were removed (`-`) and added (`+`) on the way from `old` to `new`, in order.
 ///
-/// Lines in common are left out. Texts that differ in more than [`MAX_LINES`] lines are told as
+/// Lines in common are left out. Texts that differ in more than [`MAX_DIFF_LINES`] lines are told as
 /// removed and added whole, which bounds time and memory.
 #[must_use]
-pub fn difference(old: &str, new: &str) -> String {
+pub fn line_diff(old: &str, new: &str) -> String {
     let old: Vec<&str> = old.lines().collect();
     let new: Vec<&str> = new.lines().collect();
     let prefix = old.iter().zip(&new).take_while(|(a, b)| a == b).count();
     let (old, new) = (&old[prefix..], &new[prefix..]);
     let suffix = old.iter().rev().zip(new.iter().rev()).take_while(|(a, b)| a == b).count();
     let (old, new) = (&old[..old.len() - suffix], &new[..new.len() - suffix]);
-    if old.len() > MAX_LINES || new.len() > MAX_LINES {
+    if old.len() > MAX_DIFF_LINES || new.len() > MAX_DIFF_LINES {
         return whole(old, new);
     }
     walk(old, new, &common_lengths(old, new))
--- a/agatetrestle/src/operator/difference/tests.rs
+++ b/agatetrestle/src/operator/diff/tests.rs
@@ -9,7 +9,7 @@
 fn only_changed_lines_are_told() {
     let old = "format: 1\nclasses:\n  dawn: {priority: 9}\n  plan: {priority: 2}\n";
     let new = "format: 1\nclasses:\n  dawn: {priority: 8}\n  plan: {priority: 2}\n  extra: {priority: 1}\n";
-    insta::assert_snapshot!(difference(old, new), @r"
+    insta::assert_snapshot!(line_diff(old, new), @r"
     -  dawn: {priority: 9}
     +  dawn: {priority: 8}
     +  extra: {priority: 1}
@@ -18,9 +18,9 @@
 
 #[test]
 fn texts_too_long_to_compare_are_told_whole() {
-    let old = "a\n".repeat(MAX_LINES + 1);
-    let told = difference(&old, "b\n");
-    assert_eq!(told.lines().filter(|line| *line == "-a").count(), MAX_LINES + 1);
+    let old = "a\n".repeat(MAX_DIFF_LINES + 1);
+    let told = line_diff(&old, "b\n");
+    assert_eq!(told.lines().filter(|line| *line == "-a").count(), MAX_DIFF_LINES + 1);
     assert_eq!(told.lines().filter(|line| *line == "+b").count(), 1);
 }
 
@@ -33,7 +33,7 @@
 
     #[test]
     fn applying_the_counts_gives_the_new_length(old in lines(), new in lines()) {
-        let told = difference(&old, &new);
+        let told = line_diff(&old, &new);
         let count = |sign| told.lines().filter(|line| line.starts_with(sign)).count();
         prop_assert_eq!(old.lines().count() + count('+') - count('-'), new.lines().count());
         prop_assert_eq!(told.is_empty(), old == new);
--- a/agatetrestle/src/operator/mod.rs
+++ b/agatetrestle/src/operator/mod.rs
@@ -3,11 +3,11 @@
 //! Any node answers. Changes go through the control group, so that two operators who race each
 //! other meet one compare-and-set; see docs/design/003-configuration-versions-and-lease.md.
 
-pub mod difference;
+pub mod diff;
 
-mod answers;
 mod calls;
 mod error;
+mod handlers;
 mod rows;
 mod rpc;
 
@@ -43,10 +43,10 @@
 
 /// Largest message from an operator, in bytes; one document with 2,200 teams and 1,500 backend servers
 /// takes 450 KB.
-pub const MAX_MESSAGE: usize = 1 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// A connection without a call for this time is closed, so that one gone silent does not hold its place.
-pub const IDLE_TIME: Duration = Duration::from_mins(1);
+pub const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 const WORD: usize = 8;
 const NESTING: i32 = 16;
@@ -80,7 +80,7 @@
 
 async fn converse(server: Rc<OperatorServer>, stream: TcpStream, _admission: Admission) {
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(MAX_MESSAGE / WORD));
+    options.traversal_limit_in_words(Some(MAX_MESSAGE_BYTES / WORD));
     options.nesting_limit(NESTING);
     let network = VatNetwork::new(stream.clone(), stream, Side::Server, options);
     let calls = Rc::new(Calls::default());
@@ -98,7 +98,7 @@
 async fn until_idle(calls: &Calls) {
     loop {
         let begun = calls.begun();
-        Timer::after(IDLE_TIME).await;
+        Timer::after(IDLE_TIMEOUT).await;
         if calls.idle_since(begun) {
             return;
         }
--- a/agatetrestle/src/operator/rpc.rs
+++ b/agatetrestle/src/operator/rpc.rs
@@ -35,7 +35,7 @@
 use crate::ids::NodeId;
 use crate::operator::OperatorServer;
 use crate::operator::calls::Calls;
-use crate::operator::difference::difference;
+use crate::operator::diff::line_diff;
 use crate::operator::error::CallError;
 use crate::operator::rows;
 use crate::operator::rows::length;
@@ -71,7 +71,7 @@
         Ok(ControlReply::Conflict { version, text }) => {
             let mut conflict = result.init_conflict();
             conflict.set_current_version(version);
-            conflict.set_difference(difference(&text, offered).as_str());
+            conflict.set_difference(line_diff(&text, offered).as_str());
         }
         Ok(ControlReply::Refused) => result.set_invalid("the change id was used for another text"),
         Ok(other) => result.set_unknown(format!("a replica answered {other:?}").as_str()),
@@ -112,7 +112,7 @@
         let current = self.server.document(&scope);
         let mut result = results.get();
         result.set_current_version(current.version);
-        result.set_difference(difference(&current.text, &offered).as_str());
+        result.set_difference(line_diff(&current.text, &offered).as_str());
         if let Err(e) = self.server.check(&scope, &offered) {
             result.set_invalid(e.to_string().as_str());
         }
--- a/agatetrestle/src/ports.rs
+++ b/agatetrestle/src/ports.rs
@@ -58,12 +58,12 @@
     /// # Errors
     ///
     /// Says why not.
-    fn taking_work(&self) -> Result<(), NotTaking>;
+    fn taking_work(&self) -> Result<(), NotTakingWork>;
 }
 
 /// Why a node takes no new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
-pub enum NotTaking {
+pub enum NotTakingWork {
     /// No quorum confirmed the configuration since the start.
     #[snafu(display("the configuration has not been confirmed since the start"))]
     Starting,
@@ -200,7 +200,7 @@
 
 /// One thing that is counted or timed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Measure {
+pub enum Measurement {
     /// First call to final answer of a program.
     ProgramLatency(Duration),
     /// Arrival of a call to its first token or byte.
@@ -218,7 +218,7 @@
     /// A further attempt at a call, by what made the last one fail.
     Retried(&'static str),
     /// A call of which nobody can tell whether it ran.
-    Unknown,
+    UnknownOutcome,
     /// Tokens generated.
     Tokens(u64),
 }
@@ -235,15 +235,15 @@
 /// Takes in measures; cheap enough for every token.
 pub trait Recorder {
     /// Counts or times one thing.
-    fn record(&self, labels: &Labels, measure: &Measure);
+    fn record(&self, labels: &Labels, measure: &Measurement);
 
     /// Sets the prefix cache that live programs hold on this node's account, and what was wasted of it
     /// since the start, in tokens; see [`crate::retention::cache_usage`].
-    fn cache(&self, held: u64, wasted: u64);
+    fn record_cache(&self, held: u64, wasted: u64);
 
     /// Counts a report to control by what became of it, and times it.
-    fn report(&self, _outcome: &'static str, _took: Duration) {}
+    fn record_report(&self, _outcome: &'static str, _took: Duration) {}
 
     /// Counts entries of the platform's list that name no server to use, since they can't be read.
-    fn unreadable(&self, _entries: u64) {}
+    fn record_malformed(&self, _entries: u64) {}
 }
--- a/agatetrestle/src/trace/recorder.rs
+++ b/agatetrestle/src/trace/recorder.rs
@@ -114,7 +114,7 @@
     }
 
     fn tell_account(&self) {
-        self.recorder.cache(self.account.held_tokens, self.account.wasted_tokens);
+        self.recorder.record_cache(self.account.held_tokens, self.account.wasted_tokens);
     }
 
     fn note_event(&mut self, now: Timestamp, event: &Event) {
--- a/agatetrestle/src/trace/recorder/tests.rs
+++ b/agatetrestle/src/trace/recorder/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::ports::Labels;
-use crate::ports::Measure;
+use crate::ports::Measurement;
 use crate::scheduler::event::RefusalReason;
 use crate::trace::parse;
 
@@ -17,9 +17,9 @@
 struct Account(Cell<(u64, u64)>);
 
 impl Recorder for Account {
-    fn record(&self, _: &Labels, _: &Measure) {}
+    fn record(&self, _: &Labels, _: &Measurement) {}
 
-    fn cache(&self, held: u64, wasted: u64) {
+    fn record_cache(&self, held: u64, wasted: u64) {
         self.0.set((held, wasted));
     }
 }
--- a/agatetrestle/src/turns/state.rs
+++ b/agatetrestle/src/turns/state.rs
@@ -19,7 +19,7 @@
 use crate::codec::Blob;
 use crate::codec::decode;
 use crate::codec::encode;
-use crate::codec::encode_large;
+use crate::codec::encode_with_capacity;
 use crate::turns::command::Begin;
 use crate::turns::command::Finish;
 use crate::turns::command::RetainedTurn;
@@ -278,7 +278,7 @@
 
     fn snapshot(&self) -> Vec<u8> {
         // A size hint that avoids reallocation while encoding.
-        encode_large(self, self.kept_bytes + self.accounts.len() * TURN_OVERHEAD_BYTES)
+        encode_with_capacity(self, self.kept_bytes + self.accounts.len() * TURN_OVERHEAD_BYTES)
     }
 
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError> {
--- a/agatetrestle/tests/callers.rs
+++ b/agatetrestle/tests/callers.rs
@@ -8,8 +8,8 @@
 
 use agatetrestle::attempts::prefix;
 use agatetrestle::clock::Timestamp;
-use agatetrestle::ports::Measure;
-use agatetrestle::ports::NotTaking;
+use agatetrestle::ports::Measurement;
+use agatetrestle::ports::NotTakingWork;
 use agatetrestle::programs::command::CallState;
 use agatetrestle::scheduler::BackendState;
 use agatetrestle::scheduler::Scheduler;
@@ -76,17 +76,17 @@
         let events = String::from_utf8(reply.body).unwrap().matches("data: ").count();
         let parts = events - 1; // The last event is told by the entry itself.
         let recorder = &rig.recorder;
-        assert_eq!(recorder.count(|m| matches!(m, Measure::FirstToken(_))), 1);
-        assert_eq!(recorder.count(|m| matches!(m, Measure::BetweenTokens(_))), parts - 1);
-        assert_eq!(recorder.count(|m| *m == Measure::Tokens(8)), 1);
+        assert_eq!(recorder.count(|m| matches!(m, Measurement::FirstToken(_))), 1);
+        assert_eq!(recorder.count(|m| matches!(m, Measurement::BetweenTokens(_))), parts - 1);
+        assert_eq!(recorder.count(|m| *m == Measurement::Tokens(8)), 1);
         for each in [
-            |m: &Measure| matches!(m, Measure::ProgramLatency(_)),
-            |m: &Measure| matches!(m, Measure::QueueWait(_)),
-            |m: &Measure| matches!(m, Measure::AddedTime(_)),
+            |m: &Measurement| matches!(m, Measurement::ProgramLatency(_)),
+            |m: &Measurement| matches!(m, Measurement::QueueWait(_)),
+            |m: &Measurement| matches!(m, Measurement::AddedTime(_)),
         ] {
             assert_eq!(recorder.count(each), 1);
         }
-        assert_eq!(recorder.count(|m| matches!(m, Measure::Commit(_))), 2, "the begin and the finish");
+        assert_eq!(recorder.count(|m| matches!(m, Measurement::Commit(_))), 2, "the begin and the finish");
     });
 }
 
@@ -392,7 +392,7 @@
         let book =
             async |node: &Node| node.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
         let booked = book(&first).await;
-        rig.control.taking.set(Err(NotTaking::Isolated));
+        rig.control.taking.set(Err(NotTakingWork::Isolated));
         assert_eq!(book(&second).await.body, booked.body, "an answer is given although no work is taken");
         rig.ledger.silent.set(true);
         let blind = book(&second).await;
@@ -444,7 +444,7 @@
     run(async |executor| {
         let rig = Rig::new(&executor, &[], &[]);
         let node = rig.node(1).await;
-        rig.control.taking.set(Err(NotTaking::Isolated));
+        rig.control.taking.set(Err(NotTakingWork::Isolated));
         let form = json!({ "partner": "vrsta", "team": "dawn", "class": "assistant" });
         let refused = node.client.open("k", &form).await.unwrap();
         assert_eq!((refused.status, &refused.json()["reason"]), (503, &json!("isolated")));
--- a/agatetrestle/tests/isolation.rs
+++ b/agatetrestle/tests/isolation.rs
@@ -8,7 +8,7 @@
 use agatetrestle::ids::ProgramId;
 use agatetrestle::ids::RequestKey;
 use agatetrestle::node::Node;
-use agatetrestle::ports::NotTaking;
+use agatetrestle::ports::NotTakingWork;
 use agatetrestle::programs::command::ProgramCommand;
 use agatetrestle::programs::command::ProgramReply;
 use agatetrestle::programs::command::ProgramSpec;
@@ -71,7 +71,7 @@
         let others: Vec<u64> = (1..=NODES).filter(|id| *id != isolated).collect();
         cluster.isolate(isolated);
         let cut_off = cluster.node(isolated);
-        let stopped = || cut_off.control().taking_work() == Err(NotTaking::Isolated);
+        let stopped = || cut_off.control().taking_work() == Err(NotTakingWork::Isolated);
         cluster.until("the isolated node stops taking work", stopped).await;
         assert_eq!(revision(&cut_off), 1);
 
--- a/agatetrestle/tests/support/mod.rs
+++ b/agatetrestle/tests/support/mod.rs
@@ -27,10 +27,10 @@
 use agatetrestle::ports::Control;
 use agatetrestle::ports::GroupError;
 use agatetrestle::ports::Labels;
-use agatetrestle::ports::Measure;
+use agatetrestle::ports::Measurement;
 use agatetrestle::ports::MemberView;
 use agatetrestle::ports::Members;
-use agatetrestle::ports::NotTaking;
+use agatetrestle::ports::NotTakingWork;
 use agatetrestle::ports::Recorder;
 use agatetrestle::programs::command::ProgramCommand;
 use agatetrestle::programs::command::ProgramQuery;
@@ -138,7 +138,7 @@
 
 pub struct FakeControl {
     configuration: RefCell<Arc<Configuration>>,
-    pub taking: Cell<Result<(), NotTaking>>,
+    pub taking: Cell<Result<(), NotTakingWork>>,
 }
 
 impl FakeControl {
@@ -167,7 +167,7 @@
         self.configuration.borrow().clone()
     }
 
-    fn taking_work(&self) -> Result<(), NotTaking> {
+    fn taking_work(&self) -> Result<(), NotTakingWork> {
         self.taking.get()
     }
 }
@@ -190,12 +190,12 @@
 #[derive(Default)]
 pub struct FakeRecorder {
     pub refused: RefCell<Vec<&'static str>>,
-    pub taken: RefCell<Vec<(Labels, Measure)>>,
+    pub taken: RefCell<Vec<(Labels, Measurement)>>,
 }
 
 impl FakeRecorder {
     /// Counts the measures that `wanted` picks, all of which must belong to the rig's class.
-    pub fn count(&self, wanted: impl Fn(&Measure) -> bool) -> usize {
+    pub fn count(&self, wanted: impl Fn(&Measurement) -> bool) -> usize {
         let taken = self.taken.borrow();
         let picked: Vec<&Labels> =
             taken.iter().filter(|(_, m)| wanted(m)).map(|(labels, _)| labels).collect();
@@ -205,14 +205,14 @@
 }
 
 impl Recorder for FakeRecorder {
-    fn record(&self, labels: &Labels, measure: &Measure) {
+    fn record(&self, labels: &Labels, measure: &Measurement) {
         self.taken.borrow_mut().push((labels.clone(), measure.clone()));
-        if let Measure::Refused(reason) = measure {
+        if let Measurement::Refused(reason) = measure {
             self.refused.borrow_mut().push(reason);
         }
     }
 
-    fn cache(&self, _: u64, _: u64) {}
+    fn record_cache(&self, _: u64, _: u64) {}
 }
 
 /// A timer that only the test moves.
--- a/agatetrestle_cli/tests/operator.rs
+++ b/agatetrestle_cli/tests/operator.rs
@@ -183,7 +183,7 @@
 fn a_message_beyond_the_bound_closes_the_connection() {
     in_world(async |world| {
         let client = client(&[world.node(Mood::Well, 0).await]);
-        let huge = "#".repeat(agatetrestle::operator::MAX_MESSAGE + 1);
+        let huge = "#".repeat(agatetrestle::operator::MAX_MESSAGE_BYTES + 1);
         let refused = apply(&client, &Change { text: huge.into(), ..change(0, 1) }).await.unwrap_err();
         assert_eq!(refused.exit(), Exit::Unknown, "{refused}");
         assert_eq!(documents_changed(&world), 0);
--- a/agatetrestle_cli/tests/support/mod.rs
+++ b/agatetrestle_cli/tests/support/mod.rs
@@ -30,7 +30,7 @@
 use agatetrestle::ports::Ledger;
 use agatetrestle::ports::MemberView;
 use agatetrestle::ports::Members;
-use agatetrestle::ports::NotTaking;
+use agatetrestle::ports::NotTakingWork;
 use agatetrestle::ports::Traces;
 use agatetrestle::programs::command::ProgramCommand;
 use agatetrestle::programs::command::ProgramQuery;
@@ -90,9 +90,9 @@
         self.shared.0.borrow().configuration()
     }
 
-    fn taking_work(&self) -> Result<(), NotTaking> {
+    fn taking_work(&self) -> Result<(), NotTakingWork> {
         match self.mood {
-            Mood::NoQuorum => Err(NotTaking::Isolated),
+            Mood::NoQuorum => Err(NotTakingWork::Isolated),
             _ => Ok(()),
         }
     }
--- a/agatetrestle_replay/tests/recorded.rs
+++ b/agatetrestle_replay/tests/recorded.rs
@@ -7,7 +7,7 @@
 use agatetrestle::clock::Timestamp;
 use agatetrestle::ids::ProgramId;
 use agatetrestle::ports::Labels;
-use agatetrestle::ports::Measure;
+use agatetrestle::ports::Measurement;
 use agatetrestle::ports::Recorder;
 use agatetrestle::ports::Traces;
 use agatetrestle::programs::command::Repeatable;
@@ -38,9 +38,9 @@
 struct NoMeasures;
 
 impl Recorder for NoMeasures {
-    fn record(&self, _: &Labels, _: &Measure) {}
+    fn record(&self, _: &Labels, _: &Measurement) {}
 
-    fn cache(&self, _: u64, _: u64) {}
+    fn record_cache(&self, _: u64, _: u64) {}
 }
 
 /// Decides nothing, since the test says itself when an answer comes.
