--- a/agatetrestle/src/node/order_loop.rs
+++ b/agatetrestle/src/node/order_loop.rs
@@ -51,7 +51,7 @@
 }
 
 impl OrderLoop {
-    /// OrderLoop without a mandate; `wait_out` is an old leader's longest lease plus the clock drift.
+    /// An order loop without a mandate; `wait_out` is an old leader's longest lease plus the clock drift.
     pub fn new(
         node: NodeId,
         clock: Clock,
--- a/agatetrestle/src/transport/body.rs
+++ b/agatetrestle/src/transport/body.rs
@@ -16,7 +16,7 @@
 #[snafu(display("the answer broke off"))]
 pub struct TruncatedBody;
 
-/// BodyStream of a body, ended by the end of the stream if it is whole and by [`TruncatedBody`] if not.
+/// Stream of a body, ended by the end of the stream if it is whole and by [`TruncatedBody`] if not.
 pub type BodyStream = Pin<Box<dyn Stream<Item = Result<Bytes, TruncatedBody>>>>;
 
 /// The body of an answer.
--- a/agatetrestle/src/transport/server.rs
+++ b/agatetrestle/src/transport/server.rs
@@ -40,7 +40,7 @@
 /// Answers one request; dropped if the caller goes away.
 pub type Handler = Rc<dyn Fn(Request<Incoming>) -> LocalBoxFuture<'static, Response<ResponseBody>>>;
 
-/// ServerLimits on callers, changed while the server runs.
+/// Limits on callers, changed while the server runs.
 #[derive(Debug)]
 pub struct ServerLimits {
     /// Largest request head in bytes.
@@ -56,7 +56,7 @@
 }
 
 impl ServerLimits {
-    /// ServerLimits for callers that are not ours.
+    /// Limits for callers that are not ours.
     #[must_use]
     pub fn new(connections: usize) -> Rc<Self> {
         Rc::new(Self {
