--- a/agatetrestle/src/cluster/backends.rs
+++ b/agatetrestle/src/cluster/backends.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::cluster::message::Edition;
+use crate::cluster::message::ListVersion;
 use crate::dispatch::Instance;
 
 /// Lists from which differences are told. Processes are told within a fraction of a second, and the list is read twice a
@@ -21,7 +21,7 @@
 
 /// The list with those before it.
 #[derive(Debug, Default)]
-pub struct Backends {
+pub struct VersionedBackends {
     list: Rc<Vec<Instance>>,
     /// Counts the lists of this process. It never goes back: a reader would not believe a lower number under the same leader.
     count: u64,
@@ -29,7 +29,7 @@
     earlier: VecDeque<(u64, Rc<Vec<Instance>>)>,
 }
 
-impl Backends {
+impl VersionedBackends {
     /// Takes in a list that was read; whether it is another one than before.
     pub fn replace(&mut self, list: Vec<Instance>) -> bool {
         if self.listed && *self.list == list {
@@ -61,14 +61,14 @@
 
     /// The edition of the list under a leader; none if none was read.
     #[must_use]
-    pub fn edition(&self, term: u64) -> Option<Edition> {
-        self.listed.then_some(Edition { term, count: self.count })
+    pub fn edition(&self, term: u64) -> Option<ListVersion> {
+        self.listed.then_some(ListVersion { term, count: self.count })
     }
 
     /// The change for a process that holds an edition.
     #[must_use]
-    pub fn change_since(&self, known: Edition, term: u64) -> BackendChange {
-        let base = self.earlier.iter().find(|(count, _)| known == Edition { term, count: *count });
+    pub fn change_since(&self, known: ListVersion, term: u64) -> BackendChange {
+        let base = self.earlier.iter().find(|(count, _)| known == ListVersion { term, count: *count });
         let difference = base.and_then(|(_, base)| BackendChange::between(known, base, &self.list));
         difference.unwrap_or_else(|| BackendChange::Whole(self.list.to_vec()))
     }
@@ -82,7 +82,7 @@
     /// The difference from an edition.
     Since {
         /// The edition.
-        from: Edition,
+        from: ListVersion,
         /// Ids that are not listed any more.
         gone: Vec<Arc<str>>,
         /// Servers that are new, or of which something is.
@@ -92,7 +92,7 @@
 
 impl BackendChange {
     /// The difference of two lists; none where ids don't tell their entries apart.
-    fn between(from: Edition, before: &[Instance], now: &[Instance]) -> Option<Self> {
+    fn between(from: ListVersion, before: &[Instance], now: &[Instance]) -> Option<Self> {
         let known: HashMap<&str, &Instance> =
             before.iter().map(|instance| (&*instance.id, instance)).collect();
         let listed: HashSet<&str> = now.iter().map(|instance| &*instance.id).collect();
@@ -108,7 +108,7 @@
     /// The list that comes of it for who knows an edition of it; none for a difference from another edition, which an answer
     /// that was overtaken by a later one may bring.
     #[must_use]
-    pub fn apply(self, known: Edition, base: &[Instance]) -> Option<Vec<Instance>> {
+    pub fn apply(self, known: ListVersion, base: &[Instance]) -> Option<Vec<Instance>> {
         match self {
             Self::Whole(list) => Some(list),
             Self::Since { from, gone, put } if from == known => {
--- a/agatetrestle/src/cluster/contacts.rs
+++ b/agatetrestle/src/cluster/contacts.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-use crate::cluster::identity::put_in_place;
+use crate::cluster::identity::write_atomically;
 use crate::ids::NodeId;
 
 const FILE: &str = "contacts";
@@ -44,5 +44,5 @@
     for (node, address) in contacts {
         writeln!(lines, "{} {address}", node.0)?;
     }
-    put_in_place(folder, FILE, &lines)
+    write_atomically(folder, FILE, &lines)
 }
--- a/agatetrestle/src/cluster/encoded.rs
+++ b/agatetrestle/src/cluster/encoded.rs
@@ -21,7 +21,7 @@
 
 impl<K: Copy + PartialEq> EncodedCache<K> {
     /// The packed list of an edition, packed now if it is another one than before.
-    pub fn of<T: Serialize>(&self, edition: K, list: impl FnOnce() -> T) -> Packed {
+    pub fn get_or_encode<T: Serialize>(&self, edition: K, list: impl FnOnce() -> T) -> Packed {
         let mut held = self.0.borrow_mut();
         match &*held {
             Some((known, packed)) if *known == edition => packed.clone(),
--- a/agatetrestle/src/cluster/identity.rs
+++ b/agatetrestle/src/cluster/identity.rs
@@ -17,13 +17,13 @@
 
 /// The number of a founding control member, which the others know by its address alone.
 #[must_use]
-pub fn founding_number(ip: Ipv4Addr) -> NodeId {
+pub fn founder_id(ip: Ipv4Addr) -> NodeId {
     NodeId(u32::from(ip).into())
 }
 
 /// The address behind a founding member's number; none for a drawn number.
 #[must_use]
-pub fn founding_ip(node: NodeId) -> Option<Ipv4Addr> {
+pub fn founder_ip(node: NodeId) -> Option<Ipv4Addr> {
     u32::try_from(node.0).ok().map(Ipv4Addr::from)
 }
 
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// Fails if the operating system gives none.
-pub fn draw() -> io::Result<NodeId> {
+pub fn random_id() -> io::Result<NodeId> {
     let mut bytes = [0; 8];
     io::Read::read_exact(&mut fs::File::open("/dev/urandom")?, &mut bytes)?;
     Ok(NodeId((u64::from_le_bytes(bytes) >> 2) | DRAWN))
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// Fails if the folder can't be read or written, or holds what is no number.
-pub fn keep(folder: &Path, fresh: NodeId) -> io::Result<NodeId> {
+pub fn load_or_create(folder: &Path, fresh: NodeId) -> io::Result<NodeId> {
     fs::create_dir_all(folder)?;
     let file = folder.join(FILE);
     match fs::read_to_string(&file) {
@@ -52,7 +52,7 @@
             number.map(NodeId).map_err(|failure| io::Error::new(io::ErrorKind::InvalidData, failure))
         }
         Err(failure) if failure.kind() == io::ErrorKind::NotFound => {
-            put_in_place(folder, FILE, format!("{}\n", fresh.0).as_bytes())?;
+            write_atomically(folder, FILE, format!("{}\n", fresh.0).as_bytes())?;
             Ok(fresh)
         }
         Err(failure) => Err(failure),
@@ -64,7 +64,7 @@
 /// # Errors
 ///
 /// Fails if the folder can't be written.
-pub(super) fn put_in_place(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
+pub(super) fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     let file = folder.join(name);
     let aside = file.with_extension("tmp");
     let mut out = fs::File::create(&aside)?;
--- a/agatetrestle/src/cluster/membership.rs
+++ b/agatetrestle/src/cluster/membership.rs
@@ -2,7 +2,7 @@
 
 use agatetrestle_config::deployment::Role;
 
-use crate::cluster::message::Edition;
+use crate::cluster::message::ListVersion;
 use crate::cluster::message::Member;
 
 /// Who is there, and how often that changed.
@@ -44,9 +44,9 @@
     /// The edition, under a leader, of the members that are visible to a role. Entries are visible to control alone, which
     /// gives their addresses to callers; hundreds of them start and stop in a day, and that is no news to the rest.
     #[must_use]
-    pub fn edition(&self, role: Role, term: u64) -> Edition {
+    pub fn edition(&self, role: Role, term: u64) -> ListVersion {
         let count = if role == Role::Control { self.count } else { self.replicas };
-        Edition { term, count }
+        ListVersion { term, count }
     }
 
     /// The members that are visible to a role.
--- a/agatetrestle/src/cluster/message.rs
+++ b/agatetrestle/src/cluster/message.rs
@@ -37,18 +37,18 @@
 
 /// The editions that a process holds; a part is sent again once the current edition differs.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Known {
+pub struct KnownVersions {
     /// Revision of the control group as of the table of routes.
     pub revision: u64,
-    /// Edition of the list of backend servers.
-    pub backends: Edition,
-    /// Edition of the list of members.
-    pub members: Edition,
+    /// Version of the list of backend servers.
+    pub backends: ListVersion,
+    /// Version of the list of members.
+    pub members: ListVersion,
 }
 
 /// Number of a list that a control leader keeps: its term and a count within it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Edition {
+pub struct ListVersion {
     /// Term of the leader.
     pub term: u64,
     /// Counts the changes in that term.
@@ -57,7 +57,7 @@
 
 /// What a store holds.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Holdings {
+pub struct StoreUsage {
     /// Turns that programs may go on from.
     pub turns: usize,
     /// Bytes that they take.
@@ -70,16 +70,16 @@
 
 /// The present state of a process, as it reports it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Introduction {
+pub struct NodeStatus {
     /// The process.
     pub member: Member,
     /// Who takes part in the state group of a store, from its leader.
     pub voters: Option<BTreeSet<NodeId>>,
     /// What a store holds.
-    pub holdings: Option<Holdings>,
+    pub holdings: Option<StoreUsage>,
 }
 
-impl From<Member> for Introduction {
+impl From<Member> for NodeStatus {
     fn from(member: Member) -> Self {
         Self { member, voters: None, holdings: None }
     }
@@ -90,9 +90,9 @@
 pub struct Report {
     /// Of itself.
     #[serde(rename = "told")]
-    pub introduction: Introduction,
+    pub introduction: NodeStatus,
     /// The editions that it holds.
-    pub known: Known,
+    pub known: KnownVersions,
     /// Milliseconds for which the call may be held.
     #[serde(rename = "patience")]
     pub long_poll_ms: u32,
@@ -113,9 +113,9 @@
     pub routes: Option<(u64, Packed)>,
     /// How the list of backend servers changed, a [`crate::cluster::backends::BackendChange`], if the process knows another
     /// edition.
-    pub backends: Option<(Edition, Packed)>,
+    pub backends: Option<(ListVersion, Packed)>,
     /// The members that the process has to do with, a list of [`Member`], if it knows another edition.
-    pub members: Option<(Edition, Packed)>,
+    pub members: Option<(ListVersion, Packed)>,
     /// Number of state groups; 0 before they were founded.
     pub groups: usize,
     /// The first voters of each state group, for a store that is not opened yet.
@@ -139,7 +139,7 @@
 
 /// How far the emptying of a store's VM is.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Emptying {
+pub enum DrainStatus {
     /// No such store is known.
     Unknown,
     /// Too few stores would be left.
--- a/agatetrestle/src/cluster/overview.rs
+++ b/agatetrestle/src/cluster/overview.rs
@@ -9,8 +9,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::cluster::message::Holdings;
 use crate::cluster::message::Member;
+use crate::cluster::message::StoreUsage;
 use crate::dispatch::Instance;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
@@ -35,7 +35,7 @@
     /// VMs that are to be emptied.
     pub leaving: BTreeSet<Arc<str>>,
     /// What each store holds, as it last reported.
-    pub holdings: BTreeMap<NodeId, Holdings>,
+    pub holdings: BTreeMap<NodeId, StoreUsage>,
     /// Backend servers as the platform last listed them.
     pub backends: Vec<Instance>,
 }
@@ -71,7 +71,7 @@
             let role = format!("{:?}", member.role).to_lowercase();
             let mut state = vec![self.part(member)];
             if let Some(held) = self.holdings.get(&member.node) {
-                let Holdings { turns, bytes, room, programs } = held;
+                let StoreUsage { turns, bytes, room, programs } = held;
                 state.push(format!("{turns} turns, {bytes} of {room} bytes, {programs} budgets"));
             }
             if self.leaving.contains(&member.vm) {
--- a/agatetrestle/src/cluster/registry.rs
+++ b/agatetrestle/src/cluster/registry.rs
@@ -16,15 +16,15 @@
 
 use crate::clock::Clock;
 use crate::clock::Timestamp;
-use crate::cluster::backends::Backends;
+use crate::cluster::backends::VersionedBackends;
 use crate::cluster::encoded::EncodedCache;
-use crate::cluster::identity::founding_ip;
+use crate::cluster::identity::founder_ip;
 use crate::cluster::membership::Membership;
-use crate::cluster::message::Edition;
-use crate::cluster::message::Emptying;
-use crate::cluster::message::Introduction;
-use crate::cluster::message::Known;
+use crate::cluster::message::DrainStatus;
+use crate::cluster::message::KnownVersions;
+use crate::cluster::message::ListVersion;
 use crate::cluster::message::Member;
+use crate::cluster::message::NodeStatus;
 use crate::cluster::message::Report;
 use crate::cluster::message::Update;
 use crate::cluster::overview::Overview;
@@ -53,7 +53,7 @@
 
 #[derive(Debug)]
 struct Seen {
-    introduction: Introduction,
+    introduction: NodeStatus,
     until: Timestamp,
 }
 
@@ -67,7 +67,7 @@
     clock: Clock,
     seen: RefCell<BTreeMap<NodeId, Seen>>,
     membership: RefCell<Membership>,
-    backends: RefCell<Backends>,
+    backends: RefCell<VersionedBackends>,
     waiting: RefCell<Vec<oneshot::Sender<()>>>,
     led: Cell<u64>,
     encoded: EncodedParts,
@@ -77,9 +77,9 @@
 #[derive(Default)]
 struct EncodedParts {
     routes: EncodedCache<u64>,
-    backends: EncodedCache<(Edition, Edition)>,
-    all_members: EncodedCache<Edition>,
-    replicas: EncodedCache<Edition>,
+    backends: EncodedCache<(ListVersion, ListVersion)>,
+    all_members: EncodedCache<ListVersion>,
+    replicas: EncodedCache<ListVersion>,
 }
 
 impl ClusterRegistry {
@@ -152,7 +152,7 @@
     }
 
     /// Takes over the members that a follower learned of, which stay for [`HANDOVER_GRACE`] if it becomes leader.
-    pub fn take_over(&self, members: &[Member]) {
+    pub fn adopt_members(&self, members: &[Member]) {
         if self.group.leads() {
             return;
         }
@@ -173,7 +173,7 @@
     }
 
     /// Forgets the list of backend servers, so that no update carries it before it has been read again.
-    pub fn drop_instances(&self) {
+    pub fn clear_instances(&self) {
         self.backends.borrow_mut().forget();
     }
 
@@ -195,7 +195,7 @@
         let leaving = self.group.machine(ControlState::configuration).leaving.clone();
         let candidate = |member: &Member| Candidate {
             node: member.node,
-            lot: member.node.0,
+            tie_break: member.node.0,
             zone: member.zone.clone(),
             leaving: leaving.contains_key(&member.vm),
         };
@@ -205,22 +205,30 @@
 
     /// How far the emptying of a store's VM is; `least` is the number of stores that each state group needs.
     #[must_use]
-    pub fn emptying(&self, vm: &str, least: usize) -> Emptying {
+    pub fn drain_status(&self, vm: &str, least: usize) -> DrainStatus {
         let leaving = self.group.machine(ControlState::configuration).leaving.clone();
         let asked = leaving.contains_key(vm);
         let stores: Vec<Member> =
             self.members().into_iter().filter(|member| member.role == Role::Store).collect();
         let Some(store) = stores.iter().find(|member| &*member.vm == vm) else {
-            return if asked { Emptying::Done } else { Emptying::Unknown };
+            return if asked { DrainStatus::Done } else { DrainStatus::Unknown };
         };
-        let groups = self.group.machine(|state| state.founding().len());
+        let groups = self.group.machine(|state| state.initial_voters().len());
         if !asked {
             let staying = stores.iter().filter(|other| !leaving.contains_key(&other.vm)).count();
-            return if staying <= least * groups.max(1) { Emptying::TooFew } else { Emptying::NotAsked };
+            return if staying <= least * groups.max(1) {
+                DrainStatus::TooFew
+            } else {
+                DrainStatus::NotAsked
+            };
         }
         let voters = self.state_groups();
         let sound = |voters: &BTreeSet<NodeId>| !voters.contains(&store.node) && voters.len() >= least;
-        if voters.len() == groups && voters.values().all(sound) { Emptying::Done } else { Emptying::Running }
+        if voters.len() == groups && voters.values().all(sound) {
+            DrainStatus::Done
+        } else {
+            DrainStatus::Running
+        }
     }
 
     /// The voters of each state group, as reported by its leader.
@@ -288,10 +296,10 @@
     }
 
     /// The editions that are current for a process of a role.
-    fn editions(&self, role: Role) -> Known {
+    fn editions(&self, role: Role) -> KnownVersions {
         let term = self.group.term();
         let revision = self.group.machine(|state| state.routes().map_or(0, |document| document.revision));
-        Known {
+        KnownVersions {
             revision,
             backends: self.backends.borrow().edition(term).unwrap_or_default(),
             members: self.membership.borrow().edition(role, term),
@@ -305,7 +313,7 @@
     /// Whether there is another table of routes or list of backend servers, which are sent without delay.
     fn has_decisions(&self, report: &Report) -> bool {
         let now = self.editions(report.introduction.member.role);
-        let listed = now.backends != Edition::default();
+        let listed = now.backends != ListVersion::default();
         now.revision > report.known.revision || (listed && now.backends != report.known.backends)
     }
 
@@ -324,22 +332,22 @@
             update.revision = state.configuration().revision;
             let routes = state.routes().filter(|document| document.revision > known.revision);
             update.routes = routes.map(|document| {
-                (document.revision, self.encoded.routes.of(document.revision, || document.clone()))
+                (document.revision, self.encoded.routes.get_or_encode(document.revision, || document.clone()))
             });
-            update.groups = state.founding().len();
+            update.groups = state.initial_voters().len();
             if role == Role::Store && !report.introduction.member.ready {
-                update.founding = state.founding().to_vec();
+                update.founding = state.initial_voters().to_vec();
             }
             update.leaving = state.configuration().leaving.keys().cloned().collect();
         });
-        if editions.backends != Edition::default() && editions.backends != known.backends {
+        if editions.backends != ListVersion::default() && editions.backends != known.backends {
             let change = || self.backends.borrow().change_since(known.backends, editions.backends.term);
-            let packed = self.encoded.backends.of((known.backends, editions.backends), change);
+            let packed = self.encoded.backends.get_or_encode((known.backends, editions.backends), change);
             update.backends = Some((editions.backends, packed));
         }
         if editions.members != known.members {
             let pack = if role == Role::Control { &self.encoded.all_members } else { &self.encoded.replicas };
-            let packed = pack.of(editions.members, || self.membership.borrow().visible_to(role));
+            let packed = pack.get_or_encode(editions.members, || self.membership.borrow().visible_to(role));
             update.members = Some((editions.members, packed));
         }
         update
@@ -356,7 +364,7 @@
             return Some(self.own_address);
         }
         let seen = self.seen.borrow().get(&node).map(|seen| seen.introduction.member.peer);
-        seen.or_else(|| founding_ip(node).map(|ip| SocketAddrV4::new(ip, self.peer_port)))
+        seen.or_else(|| founder_ip(node).map(|ip| SocketAddrV4::new(ip, self.peer_port)))
     }
 
     fn control(&self) -> BTreeMap<NodeId, SocketAddrV4> {
--- a/agatetrestle/src/cluster/repair.rs
+++ b/agatetrestle/src/cluster/repair.rs
@@ -8,8 +8,8 @@
 
 use crate::agreement::StateMachine;
 use crate::cluster::voters::Candidate;
-use crate::cluster::voters::Wanted;
-use crate::cluster::voters::lost;
+use crate::cluster::voters::VoterCounts;
+use crate::cluster::voters::failed_voters;
 use crate::cluster::voters::next_change;
 use crate::node::group::Group;
 use crate::node::group::Verdict;
@@ -23,13 +23,13 @@
 const PARTITIONED_AFTER: Duration = Duration::from_secs(3);
 
 /// The nodes that could take part now.
-pub type Candidates = Rc<dyn Fn() -> Vec<Candidate>>;
+pub type CandidateSource = Rc<dyn Fn() -> Vec<Candidate>>;
 
 /// Keeps a group at full strength until the task is dropped.
 pub async fn repair_forever<M: StateMachine + 'static>(
     group: Rc<Group<M>>,
-    candidates: Candidates,
-    wanted: Wanted,
+    candidates: CandidateSource,
+    wanted: VoterCounts,
 ) {
     loop {
         Timer::after(CHECK_INTERVAL).await;
@@ -37,8 +37,11 @@
             continue;
         }
         let candidates = candidates();
-        let silent =
-            lost(&group.silent_voters(FAILED_AFTER), &group.silent_voters(PARTITIONED_AFTER), &candidates);
+        let silent = failed_voters(
+            &group.silent_voters(FAILED_AFTER),
+            &group.silent_voters(PARTITIONED_AFTER),
+            &candidates,
+        );
         let replicas = group.replicas();
         let Some(change) = next_change(&replicas, &candidates, &silent, wanted) else {
             continue;
--- a/agatetrestle/src/cluster/report_log.rs
+++ b/agatetrestle/src/cluster/report_log.rs
@@ -11,7 +11,7 @@
 use log::info;
 
 use crate::clock::Timestamp;
-use crate::cluster::message::Known;
+use crate::cluster::message::KnownVersions;
 use crate::node::peer_link::LinkError;
 
 /// What became of one report.
@@ -96,7 +96,7 @@
     }
 
     /// Writes a line for each control replica that was asked. Called once a search, which bounds the lines.
-    pub fn write(&self, now: Timestamp, known: Known, confirmed_at: Option<Timestamp>) {
+    pub fn write(&self, now: Timestamp, known: KnownVersions, confirmed_at: Option<Timestamp>) {
         for line in self.lines(now, known, confirmed_at) {
             info!("{line}");
         }
@@ -105,7 +105,12 @@
     /// A line for each control replica that was asked: what became of the last report, for how long none has been
     /// answered, and how old what the process knows is.
     #[must_use]
-    pub fn lines(&self, now: Timestamp, known: Known, confirmed_at: Option<Timestamp>) -> Vec<String> {
+    pub fn lines(
+        &self,
+        now: Timestamp,
+        known: KnownVersions,
+        confirmed_at: Option<Timestamp>,
+    ) -> Vec<String> {
         let age = Millis(confirmed_at.map(|at| now.since(at)));
         let revision = known.revision;
         let line = |(contact, reports): (&SocketAddrV4, &Reports)| {
--- a/agatetrestle/src/cluster/service.rs
+++ b/agatetrestle/src/cluster/service.rs
@@ -38,7 +38,7 @@
     /// Who is there.
     pub registry: Rc<ClusterRegistry>,
     /// Stores that must stay when one is emptied.
-    pub least_stores: usize,
+    pub min_stores: usize,
 }
 
 impl ControlService {
@@ -47,7 +47,7 @@
             Ok(ControlRequest::Command(command)) => self.commit(command).await,
             Ok(ControlRequest::Routes) => read(&self.group, |state| state.routes().cloned()).await,
             Ok(ControlRequest::Emptying(vm)) => {
-                read(&self.group, |_| self.registry.emptying(&vm, self.least_stores)).await
+                read(&self.group, |_| self.registry.drain_status(&vm, self.min_stores)).await
             }
             Ok(ControlRequest::Overview) => read(&self.group, |_| self.registry.overview()).await,
             Err(failure) => Submission::Refused(failure.to_string().into()),
--- a/agatetrestle/src/cluster/subscriber.rs
+++ b/agatetrestle/src/cluster/subscriber.rs
@@ -23,13 +23,13 @@
 use snafu::Snafu;
 
 use crate::clock::Clock;
-use crate::cluster::message::Introduction;
+use crate::cluster::message::NodeStatus;
 use crate::cluster::message::Report;
 use crate::cluster::message::Update;
 use crate::cluster::registry::ClusterRegistry;
 use crate::cluster::report_log::ReportLog;
 use crate::cluster::report_log::ReportOutcome;
-use crate::cluster::view::View;
+use crate::cluster::view::ClusterView;
 use crate::codec::DecodeError;
 use crate::codec::decode;
 use crate::codec::encode;
@@ -50,7 +50,7 @@
 const SEARCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Gives the present state of the process.
-pub type Introduce = Rc<dyn Fn() -> Introduction>;
+pub type StatusSource = Rc<dyn Fn() -> NodeStatus>;
 
 /// Why a report has no answer.
 #[derive(Debug, Snafu)]
@@ -85,11 +85,11 @@
 /// The reports of one process.
 pub struct Subscriber {
     /// Gives the present state of the process.
-    pub introduce: Introduce,
+    pub status_source: StatusSource,
     /// Control addresses from the settings; they may be out of date.
     pub seeds: RefCell<Vec<SocketAddrV4>>,
     /// What the process knows.
-    pub view: Rc<View>,
+    pub view: Rc<ClusterView>,
     /// This process's own registry, on control.
     pub registry: Option<Rc<ClusterRegistry>>,
     /// The ways to other nodes, which learn addresses from the lists.
@@ -180,7 +180,7 @@
             self.links.learn(*node, SocketAddr::V4(*address));
         }
         let known = self.view.known().members;
-        self.view.adopt(sent, update);
+        self.view.apply_update(sent, update);
         if self.view.known().members != known {
             self.learn_members();
         }
@@ -201,7 +201,7 @@
     }
 
     async fn ask(&self, contact: SocketAddrV4) -> Result<Update, ReportError> {
-        let introduction = (self.introduce)();
+        let introduction = (self.status_source)();
         let own = introduction.member.peer == contact;
         let long_poll_ms = u32::try_from(LONG_POLL.as_millis()).unwrap_or(u32::MAX);
         let report = Report { introduction, known: self.view.known(), long_poll_ms };
--- a/agatetrestle/src/cluster/subscriber/tests.rs
+++ b/agatetrestle/src/cluster/subscriber/tests.rs
@@ -46,7 +46,7 @@
         unreachable!("the forwarder listens on IPv4");
     };
     Subscriber {
-        introduce: Rc::new(|| entry().into()),
+        status_source: Rc::new(|| entry().into()),
         seeds: RefCell::new(vec![seed]),
         view: Rc::default(),
         registry: None,
--- a/agatetrestle/src/cluster/tests.rs
+++ b/agatetrestle/src/cluster/tests.rs
@@ -11,24 +11,24 @@
 use crate::agreement::Replicas;
 use crate::clock::Timestamp;
 use crate::cluster::backends::BackendChange;
-use crate::cluster::backends::Backends;
+use crate::cluster::backends::VersionedBackends;
 use crate::cluster::contacts;
 use crate::cluster::encoded::EncodedCache;
 use crate::cluster::identity;
 use crate::cluster::membership::Membership;
-use crate::cluster::message::Edition;
-use crate::cluster::message::Holdings;
-use crate::cluster::message::Known;
+use crate::cluster::message::KnownVersions;
+use crate::cluster::message::ListVersion;
 use crate::cluster::message::Member;
 use crate::cluster::message::Report;
+use crate::cluster::message::StoreUsage;
 use crate::cluster::message::Update;
 use crate::cluster::overview::Overview;
 use crate::cluster::report_log::ReportLog;
 use crate::cluster::report_log::ReportOutcome;
-use crate::cluster::view::View;
+use crate::cluster::view::ClusterView;
 use crate::cluster::voters::Candidate;
-use crate::cluster::voters::Wanted;
-use crate::cluster::voters::lost;
+use crate::cluster::voters::VoterCounts;
+use crate::cluster::voters::failed_voters;
 use crate::cluster::voters::next_change;
 use crate::codec::Packed;
 use crate::codec::decode;
@@ -37,7 +37,7 @@
 use crate::ids::FIRST_STATE_GROUP;
 use crate::ids::NodeId;
 
-const THREE: Wanted = Wanted { most: 3, least: 3 };
+const THREE: VoterCounts = VoterCounts { target: 3, min: 3 };
 
 fn replicas(voters: &[u64], learners: &[u64]) -> Replicas {
     let nodes = |numbers: &[u64]| numbers.iter().copied().map(NodeId).collect();
@@ -47,7 +47,7 @@
 fn candidates(nodes: &[(u64, &str)]) -> Vec<Candidate> {
     let candidate = |(node, zone): &(u64, &str)| Candidate {
         node: NodeId(*node),
-        lot: *node,
+        tie_break: *node,
         zone: (*zone).into(),
         leaving: false,
     };
@@ -75,9 +75,13 @@
 fn a_voter_that_is_only_late_is_not_lost() {
     let live = candidates(&[(1, "a"), (2, "b"), (3, "c")]);
     let short = [NodeId(3), NodeId(9)];
-    assert_eq!(lost(&short, &[], &live), silent(&[9]), "control hears from the third");
-    assert_eq!(lost(&short, &[NodeId(3)], &live), silent(&[3, 9]), "it stays silent for much longer");
-    assert_eq!(lost(&[], &[], &live), silent(&[]));
+    assert_eq!(failed_voters(&short, &[], &live), silent(&[9]), "control hears from the third");
+    assert_eq!(
+        failed_voters(&short, &[NodeId(3)], &live),
+        silent(&[3, 9]),
+        "it stays silent for much longer"
+    );
+    assert_eq!(failed_voters(&[], &[], &live), silent(&[]));
 }
 
 #[test]
@@ -106,7 +110,7 @@
         log.begin(at(millis), follower);
         log.end(follower, ReportOutcome::NotLeader);
     }
-    let known = Known { revision: 57, ..Known::default() };
+    let known = KnownVersions { revision: 57, ..KnownVersions::default() };
     insta::assert_snapshot!(log.lines(at(2_500), known, Some(at(400))).join("\n"), @r"
     reports contact=10.0.0.1:7240 sent=2 outcome=none unanswered_ms=1500 revision=57 confirmed_ms=2100
     reports contact=10.0.0.2:7240 sent=2 outcome=not_leader unanswered_ms= revision=57 confirmed_ms=2100
@@ -120,7 +124,7 @@
 fn a_report_of_an_earlier_build_is_read() {
     let report = Report {
         introduction: member(1, Role::Entry).into(),
-        known: Known { revision: 57, ..Known::default() },
+        known: KnownVersions { revision: 57, ..KnownVersions::default() },
         long_poll_ms: 500,
     };
     let value: ciborium::Value = ciborium::from_reader(&encode(&report)[..]).unwrap();
@@ -166,7 +170,7 @@
     let pack = EncodedCache::default();
     let count = Cell::new(0);
     let of = |edition: u64| {
-        pack.of(edition, || {
+        pack.get_or_encode(edition, || {
             count.set(count.get() + 1);
             members.clone()
         })
@@ -180,8 +184,8 @@
 
 #[test]
 fn a_part_that_can_not_be_read_leaves_the_others_and_is_not_asked_for_again() {
-    let view = View::default();
-    let edition = |count| Edition { term: 1, count };
+    let view = ClusterView::default();
+    let edition = |count| ListVersion { term: 1, count };
     let update = |count, members| Update {
         confirmed: true,
         groups: 2,
@@ -190,15 +194,15 @@
         ..Update::default()
     };
     let store = member(1, Role::Store);
-    view.adopt(Timestamp(1), update(1, Packed::new(&vec![store.clone()])));
-    view.adopt(Timestamp(2), update(2, Packed::new(&"of another build")));
+    view.apply_update(Timestamp(1), update(1, Packed::new(&vec![store.clone()])));
+    view.apply_update(Timestamp(2), update(2, Packed::new(&"of another build")));
     assert_eq!((view.members(), view.groups()), (vec![store], 2));
     assert_eq!((view.known().members, view.known().backends), (edition(2), edition(2)));
 }
 
 #[test]
 fn a_list_that_was_forgotten_is_told_under_a_higher_number_of_the_same_term() {
-    let mut backends = Backends::default();
+    let mut backends = VersionedBackends::default();
     assert_eq!(backends.edition(3), None);
     assert!(backends.replace(vec![backend("e-1", false)]));
     assert!(backends.replace(vec![backend("e-1", true)]));
@@ -217,7 +221,7 @@
 
 #[test]
 fn a_difference_is_small_and_is_taken_by_who_knows_its_base_alone() {
-    let mut backends = Backends::default();
+    let mut backends = VersionedBackends::default();
     let servers = |leaving: usize| -> Vec<Instance> {
         (0..1_000).map(|number| backend(&format!("e-{number}"), number == leaving)).collect()
     };
@@ -227,13 +231,13 @@
     backends.replace(servers(2));
     let change = backends.change_since(known, 3);
     assert!(matches!(&change, BackendChange::Since { gone, put, .. } if gone.is_empty() && put.len() == 2));
-    let other = Edition { term: 3, count: 9 };
+    let other = ListVersion { term: 3, count: 9 };
     assert_eq!(change.clone().apply(other, &base), None);
     assert_eq!(change.apply(known, &base).map(sorted), Some(sorted(servers(2))));
     assert!(matches!(backends.change_since(known, 4), BackendChange::Whole(_)), "it is of another leader");
     let twice = vec![backend("e-1", false), backend("e-1", true)];
     backends.replace(twice.clone());
-    let known = Edition { count: known.count + 1, ..known };
+    let known = ListVersion { count: known.count + 1, ..known };
     assert_eq!(backends.change_since(known, 3), BackendChange::Whole(twice), "ids don't tell them apart");
 }
 
@@ -250,7 +254,7 @@
             1..40,
         ),
     ) {
-        let (mut backends, mut known, mut list) = (Backends::default(), Edition::default(), Vec::new());
+        let (mut backends, mut known, mut list) = (VersionedBackends::default(), ListVersion::default(), Vec::new());
         for (servers, asks, forgets, late) in steps {
             let servers: Vec<Instance> =
                 servers.into_iter().map(|(number, leaving)| backend(&number.to_string(), leaving)).collect();
@@ -289,7 +293,7 @@
             && replicas.voters.contains(&node)
         {
             prop_assert!(quiet.contains(&node));
-            prop_assert!(sound >= THREE.least);
+            prop_assert!(sound >= THREE.min);
         }
     }
 }
@@ -297,10 +301,10 @@
 #[test]
 fn an_empty_disk_gets_a_number_of_its_own_and_keeps_it() {
     let folder = std::env::temp_dir().join(format!("agatetrestle-number-{}", std::process::id()));
-    let first = identity::draw().unwrap();
-    assert_eq!(identity::founding_ip(first), None, "no founding member has a drawn number");
-    assert_eq!(identity::keep(&folder, first).unwrap(), first);
-    assert_eq!(identity::keep(&folder, identity::draw().unwrap()).unwrap(), first);
+    let first = identity::random_id().unwrap();
+    assert_eq!(identity::founder_ip(first), None, "no founding member has a drawn number");
+    assert_eq!(identity::load_or_create(&folder, first).unwrap(), first);
+    assert_eq!(identity::load_or_create(&folder, identity::random_id().unwrap()).unwrap(), first);
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -330,7 +334,7 @@
         state_leaders: [NodeId(2)].into(),
         members: vec![entry, store, spare, member(1, Role::Control)],
         leaving: ["store-1".into()].into(),
-        holdings: [(NodeId(2), Holdings { turns: 3, bytes: 900, room: 9_000, programs: 2 })].into(),
+        holdings: [(NodeId(2), StoreUsage { turns: 3, bytes: 900, room: 9_000, programs: 2 })].into(),
         backends: vec![backend("e-1", false), backend("e-2", true)],
     };
     insta::assert_snapshot!(overview);
--- a/agatetrestle/src/cluster/view.rs
+++ b/agatetrestle/src/cluster/view.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::Timestamp;
 use crate::cluster::backends::BackendChange;
-use crate::cluster::message::Known;
+use crate::cluster::message::KnownVersions;
 use crate::cluster::message::Member;
 use crate::cluster::message::Update;
 use crate::codec::Packed;
@@ -35,13 +35,13 @@
 }
 
 /// A watcher that takes nothing in.
-pub struct Unwatched;
+pub struct NoopWatcher;
 
-impl Watcher for Unwatched {}
+impl Watcher for NoopWatcher {}
 
 /// What a process knows. Lists only go forward: an edition of an older term is not believed.
-pub struct View {
-    known: Cell<Known>,
+pub struct ClusterView {
+    known: Cell<KnownVersions>,
     leader: Cell<Option<(NodeId, SocketAddrV4)>>,
     control: RefCell<BTreeMap<NodeId, SocketAddrV4>>,
     members: RefCell<Vec<Member>>,
@@ -53,7 +53,7 @@
     watcher: RefCell<Rc<dyn Watcher>>,
 }
 
-impl Default for View {
+impl Default for ClusterView {
     fn default() -> Self {
         Self {
             known: Cell::default(),
@@ -65,12 +65,12 @@
             founding: RefCell::default(),
             leaving: RefCell::default(),
             confirmed_at: Cell::default(),
-            watcher: RefCell::new(Rc::new(Unwatched)),
+            watcher: RefCell::new(Rc::new(NoopWatcher)),
         }
     }
 }
 
-impl View {
+impl ClusterView {
     /// Sets who is notified of changes.
     pub fn watch(&self, watcher: Rc<dyn Watcher>) {
         self.watcher.replace(watcher);
@@ -78,7 +78,7 @@
 
     /// Takes in an update; `asked` is when the report went out. One that is not confirmed tells only where
     /// control is.
-    pub fn adopt(&self, asked: Timestamp, update: Update) {
+    pub fn apply_update(&self, asked: Timestamp, update: Update) {
         self.control.borrow_mut().extend(update.control);
         if !update.confirmed {
             return;
@@ -113,7 +113,7 @@
 
     /// The editions that the process holds.
     #[must_use]
-    pub fn known(&self) -> Known {
+    pub fn known(&self) -> KnownVersions {
         self.known.get()
     }
 
@@ -155,7 +155,7 @@
 
     /// The first voters of each state group, while this process is a store that is not opened yet.
     #[must_use]
-    pub fn founding(&self) -> Vec<BTreeSet<NodeId>> {
+    pub fn initial_voters(&self) -> Vec<BTreeSet<NodeId>> {
         self.founding.borrow().clone()
     }
 
--- a/agatetrestle/src/cluster/voters.rs
+++ b/agatetrestle/src/cluster/voters.rs
@@ -18,7 +18,7 @@
     pub node: NodeId,
     /// Decides between candidates that are equally fit. Groups that draw from the same spare nodes draw different lots, so that
     /// they seldom want the same one.
-    pub lot: u64,
+    pub tie_break: u64,
     /// Its failure domain.
     pub zone: Arc<str>,
     /// Whether it is to be emptied.
@@ -27,18 +27,22 @@
 
 /// How many voters a group should have.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Wanted {
+pub struct VoterCounts {
     /// Voters that are sought while there are candidates.
-    pub most: usize,
+    pub target: usize,
     /// Sound voters that must stay before one that is not sound is let go.
-    pub least: usize,
+    pub min: usize,
 }
 
 /// The voters that count as lost: silent ones of which control hears nothing either, and those that stay silent for much
 /// longer. `silent` and `long_silent` have not answered the leader for a short and a long while; `candidates` are those
 /// that control hears from.
 #[must_use]
-pub fn lost(silent: &[NodeId], long_silent: &[NodeId], candidates: &[Candidate]) -> BTreeSet<NodeId> {
+pub fn failed_voters(
+    silent: &[NodeId],
+    long_silent: &[NodeId],
+    candidates: &[Candidate],
+) -> BTreeSet<NodeId> {
     let heard = |node: &NodeId| candidates.iter().any(|candidate| candidate.node == *node);
     let gone = |node: &&NodeId| !heard(node) || long_silent.contains(node);
     silent.iter().filter(gone).copied().collect()
@@ -51,7 +55,7 @@
     replicas: &Replicas,
     candidates: &[Candidate],
     silent: &BTreeSet<NodeId>,
-    wanted: Wanted,
+    wanted: VoterCounts,
 ) -> Option<ReplicaChange> {
     let fit: BTreeMap<NodeId, &Candidate> =
         candidates.iter().filter(|c| !c.leaving).map(|c| (c.node, c)).collect();
@@ -61,7 +65,7 @@
     if let Some(gone) = replicas.learners.iter().find(|learner| !fit.contains_key(learner)) {
         return Some(ReplicaChange::Remove(*gone));
     }
-    if sound.len() < wanted.most {
+    if sound.len() < wanted.target {
         if let Some(learner) = replicas.learners.first() {
             return Some(ReplicaChange::Promote(*learner));
         }
@@ -69,7 +73,7 @@
             return Some(ReplicaChange::AddLearner(joins));
         }
     }
-    if sound.len() >= wanted.least {
+    if sound.len() >= wanted.min {
         let unsound = replicas.voters.iter().find(|voter| !sound.contains(voter));
         return unsound.copied().map(ReplicaChange::Remove);
     }
@@ -85,5 +89,7 @@
     let in_zone =
         |zone: &str| sound.iter().filter(|voter| fit.get(voter).is_some_and(|c| &*c.zone == zone)).count();
     let outside = fit.values().filter(|candidate| !replicas.voters.contains(&candidate.node));
-    outside.min_by_key(|candidate| (in_zone(&candidate.zone), candidate.lot)).map(|candidate| candidate.node)
+    outside
+        .min_by_key(|candidate| (in_zone(&candidate.zone), candidate.tie_break))
+        .map(|candidate| candidate.node)
 }
--- a/agatetrestle/src/control/lease.rs
+++ b/agatetrestle/src/control/lease.rs
@@ -9,12 +9,12 @@
 
 /// The configuration in force with the lease on it. The revision never falls.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
+pub struct LeasedConfig {
     configuration: Arc<Configuration>,
     until: Option<Timestamp>,
 }
 
-impl InForce {
+impl LeasedConfig {
     /// The configuration in force.
     #[must_use]
     pub fn configuration(&self) -> Arc<Configuration> {
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// Says whether the lease was never had or has run out.
-    pub fn taking(&self, now: Timestamp) -> Result<(), NotTaking> {
+    pub fn check_lease(&self, now: Timestamp) -> Result<(), NotTaking> {
         match self.until {
             None => Err(NotTaking::Starting),
             Some(until) if now >= until => Err(NotTaking::Isolated),
--- a/agatetrestle/src/control/state.rs
+++ b/agatetrestle/src/control/state.rs
@@ -54,7 +54,7 @@
 impl ControlState {
     /// The first voters of each state group; no group before they were agreed on.
     #[must_use]
-    pub fn founding(&self) -> &[BTreeSet<NodeId>] {
+    pub fn initial_voters(&self) -> &[BTreeSet<NodeId>] {
         &self.founding
     }
 
--- a/agatetrestle/src/control/tests.rs
+++ b/agatetrestle/src/control/tests.rs
@@ -7,7 +7,7 @@
 use crate::control::command::Configuration;
 use crate::control::command::ControlCommand;
 use crate::control::command::ControlReply;
-use crate::control::lease::InForce;
+use crate::control::lease::LeasedConfig;
 use crate::control::state::ControlState;
 use crate::ids::NodeId;
 use crate::ports::NotTaking;
@@ -83,26 +83,26 @@
 
 #[test]
 fn a_node_takes_no_work_before_the_revision_is_confirmed() {
-    let mut in_force = InForce::default();
-    assert_eq!(in_force.taking(Timestamp(0)), Err(NotTaking::Starting));
+    let mut in_force = LeasedConfig::default();
+    assert_eq!(in_force.check_lease(Timestamp(0)), Err(NotTaking::Starting));
     in_force.renew(Timestamp(0), LEASE, DRIFT, 3);
-    assert_eq!(in_force.taking(Timestamp(1)), Err(NotTaking::Starting), "revision 3 is not here yet");
+    assert_eq!(in_force.check_lease(Timestamp(1)), Err(NotTaking::Starting), "revision 3 is not here yet");
     assert!(in_force.adopt(revision(3)));
     in_force.renew(Timestamp(0), LEASE, DRIFT, 3);
-    assert_eq!(in_force.taking(Timestamp(1)), Ok(()));
+    assert_eq!(in_force.check_lease(Timestamp(1)), Ok(()));
 }
 
 #[test]
 fn an_isolated_node_stops_taking_work_when_its_lease_runs_out() {
-    let mut in_force = InForce::default();
+    let mut in_force = LeasedConfig::default();
     in_force.renew(Timestamp(0), LEASE, DRIFT, 0);
-    assert_eq!(in_force.taking(Timestamp(3_969_999)), Ok(()));
-    assert_eq!(in_force.taking(Timestamp(3_970_000)), Err(NotTaking::Isolated));
+    assert_eq!(in_force.check_lease(Timestamp(3_969_999)), Ok(()));
+    assert_eq!(in_force.check_lease(Timestamp(3_970_000)), Err(NotTaking::Isolated));
 }
 
 #[test]
 fn a_configuration_never_reverts() {
-    let mut in_force = InForce::default();
+    let mut in_force = LeasedConfig::default();
     assert!(in_force.adopt(revision(7)));
     assert!(!in_force.adopt(revision(6)));
     assert_eq!(in_force.configuration().revision, 7);
@@ -113,7 +113,7 @@
     let mut state = ControlState::default();
     state.execute(apply("vrsta", "one", 0, "a"));
     state.execute(apply("lernwerk", "one", 0, "b"));
-    let mut in_force = InForce::default();
+    let mut in_force = LeasedConfig::default();
     in_force.adopt(Configuration::clone(&state.configuration()));
     state.execute(apply("vrsta", "two", 1, "c"));
     let whole = state.configuration();
--- a/agatetrestle/src/deployment/control.rs
+++ b/agatetrestle/src/deployment/control.rs
@@ -17,7 +17,7 @@
 use crate::cluster::repair;
 use crate::cluster::service::ControlService;
 use crate::cluster::voters::Candidate;
-use crate::cluster::voters::Wanted;
+use crate::cluster::voters::VoterCounts;
 use crate::codec::encode;
 use crate::control::command::ControlCommand;
 use crate::control::state::ControlState;
@@ -61,7 +61,7 @@
     let desk: Rc<dyn GroupService> = Rc::new(ControlService {
         group: group.clone(),
         registry: registry.clone(),
-        least_stores: frame.quorum_base(),
+        min_stores: frame.quorum_base(),
     });
     let mut server = PeerServer { reports: Some(registry.clone()), ..PeerServer::default() };
     let receiving = group.clone();
@@ -108,7 +108,7 @@
         let registry = registry.clone();
         Rc::new(move || registry.candidates(Role::Control))
     };
-    let wanted = Wanted { most: usize::MAX, least: frame.quorum_base() };
+    let wanted = VoterCounts { target: usize::MAX, min: frame.quorum_base() };
     frame.executor.spawn(repair::repair_forever(group.clone(), candidates, wanted)).detach();
     let listing = listing::Listing {
         wire: frame.wire.clone(),
@@ -129,7 +129,7 @@
     let refreshing = async move {
         loop {
             // A follower that can't reach the leader goes on with the last list: some address is better than none.
-            registry.take_over(&view.members());
+            registry.adopt_members(&view.members());
             registry.refresh();
             let voters: Vec<NodeId> = group.replicas().voters.into_iter().collect();
             router.set_holders(&voters);
@@ -151,7 +151,7 @@
     let mut known = 0;
     loop {
         Timer::after(REFRESH).await;
-        if !group.machine(|state| state.founding().is_empty()) {
+        if !group.machine(|state| state.initial_voters().is_empty()) {
             return;
         }
         let stores = registry.candidates(Role::Store);
@@ -196,10 +196,10 @@
     let opener = frame.opener(&storage, &timing);
     let port = frame.settings.process.peer_port;
     let founders: Vec<NodeId> =
-        frame.settings.seeds.iter().map(|seed| identity::founding_number(*seed.ip())).collect();
+        frame.settings.seeds.iter().map(|seed| identity::founder_id(*seed.ip())).collect();
     for seed in &frame.settings.seeds {
         let address = SocketAddr::from((*seed.ip(), port));
-        frame.links.learn(identity::founding_number(*seed.ip()), address);
+        frame.links.learn(identity::founder_id(*seed.ip()), address);
     }
     let founds = frame.settings.founding && founders.contains(&frame.node);
     let missing = if founds { Missing::Bootstrap } else { Missing::Join };
--- a/agatetrestle/src/deployment/entry.rs
+++ b/agatetrestle/src/deployment/entry.rs
@@ -15,7 +15,7 @@
 use crate::clock::Clock;
 use crate::cluster::message::Member;
 use crate::cluster::subscriber::Subscriber;
-use crate::cluster::view::View;
+use crate::cluster::view::ClusterView;
 use crate::cluster::view::Watcher;
 use crate::control::command::Document;
 use crate::deployment::Frame;
@@ -61,7 +61,7 @@
 struct EntryWatcher {
     gateway: Rc<Gateway>,
     turns: Rc<TurnRoute>,
-    view: Rc<View>,
+    view: Rc<ClusterView>,
 }
 
 impl Watcher for EntryWatcher {
--- a/agatetrestle/src/deployment/listing.rs
+++ b/agatetrestle/src/deployment/listing.rs
@@ -88,7 +88,7 @@
             if !self.group.leads() {
                 if self.group.leader().is_some() {
                     // What the leader reads is newer. What this replica read stands only until somebody leads.
-                    self.registry.drop_instances();
+                    self.registry.clear_instances();
                     early = true;
                 }
                 if std::mem::replace(&mut early, true) {
--- a/agatetrestle/src/deployment/mod.rs
+++ b/agatetrestle/src/deployment/mod.rs
@@ -45,9 +45,9 @@
 use crate::cluster::message::Member;
 use crate::cluster::registry::ClusterRegistry;
 use crate::cluster::report_log::ReportLog;
-use crate::cluster::subscriber::Introduce;
+use crate::cluster::subscriber::StatusSource;
 use crate::cluster::subscriber::Subscriber;
-use crate::cluster::view::View;
+use crate::cluster::view::ClusterView;
 use crate::gateway::wire::WireFormat;
 use crate::ids::NodeId;
 use crate::metrics;
@@ -116,7 +116,7 @@
     clock: Clock,
     node: NodeId,
     links: Rc<Links>,
-    view: Rc<View>,
+    view: Rc<ClusterView>,
     metrics: Rc<Metrics>,
 }
 
@@ -180,14 +180,14 @@
 /// The number of the process; a new one with each empty disk, and with each start where there is no disk.
 fn number(settings: &Deployment) -> Result<NodeId, StartError> {
     let process = &settings.process;
-    let drawn = || identity::draw().context(NumberSnafu { folder: "/dev/urandom" });
+    let drawn = || identity::random_id().context(NumberSnafu { folder: "/dev/urandom" });
     let Some(folder) = &settings.data_folder else {
         return drawn();
     };
     let seed = settings.seeds.iter().any(|seed| *seed.ip() == process.ip);
     let founds = settings.founding && seed && process.role == Role::Control;
-    let fresh = if founds { identity::founding_number(process.ip) } else { drawn()? };
-    identity::keep(folder, fresh).context(NumberSnafu { folder })
+    let fresh = if founds { identity::founder_id(process.ip) } else { drawn()? };
+    identity::load_or_create(folder, fresh).context(NumberSnafu { folder })
 }
 
 impl Frame {
@@ -235,10 +235,14 @@
         }
     }
 
-    fn subscriber(&self, introduce: Introduce, registry: Option<Rc<ClusterRegistry>>) -> Rc<Subscriber> {
+    fn subscriber(
+        &self,
+        status_source: StatusSource,
+        registry: Option<Rc<ClusterRegistry>>,
+    ) -> Rc<Subscriber> {
         let port = self.settings.process.peer_port;
         let subscriber = Rc::new(Subscriber {
-            introduce,
+            status_source,
             seeds: RefCell::new(peer_addresses(&self.settings, port)),
             view: self.view.clone(),
             registry,
@@ -341,7 +345,7 @@
 }
 
 /// Makes the addresses of control that a process found known to its links.
-fn learn_control(links: &Links, view: &View) {
+fn learn_control(links: &Links, view: &ClusterView) {
     for (node, address) in view.control() {
         links.learn(node, SocketAddr::V4(address));
     }
--- a/agatetrestle/src/deployment/operators.rs
+++ b/agatetrestle/src/deployment/operators.rs
@@ -16,7 +16,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::cluster::message::ControlRequest;
-use crate::cluster::message::Emptying;
+use crate::cluster::message::DrainStatus;
 use crate::codec::decode;
 use crate::codec::encode;
 use crate::control::command::ControlCommand;
@@ -115,11 +115,11 @@
     }
 
     async fn empty(&self, vm: Arc<str>) -> Response<AnswerBody> {
-        match self.ask::<Emptying>(&ControlRequest::Emptying(vm.clone())).await {
-            Ok(Emptying::Unknown) => plain(StatusCode::NOT_FOUND, "there is no such store"),
-            Ok(Emptying::TooFew) => plain(StatusCode::CONFLICT, "too few stores would be left"),
-            Ok(Emptying::Running | Emptying::Done) => json("{}"),
-            Ok(Emptying::NotAsked) => {
+        match self.ask::<DrainStatus>(&ControlRequest::Emptying(vm.clone())).await {
+            Ok(DrainStatus::Unknown) => plain(StatusCode::NOT_FOUND, "there is no such store"),
+            Ok(DrainStatus::TooFew) => plain(StatusCode::CONFLICT, "too few stores would be left"),
+            Ok(DrainStatus::Running | DrainStatus::Done) => json("{}"),
+            Ok(DrainStatus::NotAsked) => {
                 let mark = ControlCommand::Leave { name: vm.clone(), incarnation: FIRST_MARK };
                 match self.ask::<ControlReply>(&ControlRequest::Command(mark)).await {
                     Ok(reply) => {
@@ -134,8 +134,8 @@
     }
 
     async fn emptied(&self, vm: Arc<str>) -> Response<AnswerBody> {
-        match self.ask::<Emptying>(&ControlRequest::Emptying(vm)).await {
-            Ok(Emptying::Unknown) => plain(StatusCode::NOT_FOUND, "there is no such store"),
+        match self.ask::<DrainStatus>(&ControlRequest::Emptying(vm)).await {
+            Ok(DrainStatus::Unknown) => plain(StatusCode::NOT_FOUND, "there is no such store"),
             Ok(emptying) => json(self.wire.write_drain_status(emptying)),
             Err(failure) => unsure(&failure),
         }
--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -23,15 +23,15 @@
 use crate::agreement::storage::has_folder;
 use crate::clock::Clock;
 use crate::cluster::contacts;
-use crate::cluster::message::Introduction;
 use crate::cluster::message::Member;
+use crate::cluster::message::NodeStatus;
 use crate::cluster::repair;
 use crate::cluster::service::TurnService;
 use crate::cluster::subscriber::Subscriber;
-use crate::cluster::view::View;
+use crate::cluster::view::ClusterView;
 use crate::cluster::view::Watcher;
 use crate::cluster::voters::Candidate;
-use crate::cluster::voters::Wanted;
+use crate::cluster::voters::VoterCounts;
 use crate::control::command::Document;
 use crate::deployment::Frame;
 use crate::deployment::replicated::Replicated;
@@ -74,7 +74,7 @@
     subscriber.report_now();
     let view = frame.view.clone();
     let candidates = Rc::new(move || candidates(id, &view));
-    let wanted = Wanted { most: frame.quorum_base(), least: frame.quorum_base() };
+    let wanted = VoterCounts { target: frame.quorum_base(), min: frame.quorum_base() };
     frame.executor.spawn(repair::repair_forever(opened.clone(), candidates, wanted)).detach();
     Ok(Replicated { group: opened, subscriber })
 }
@@ -100,14 +100,14 @@
         }
     }
 
-    fn introduce(&self, member: &Member) -> Introduction {
+    fn introduce(&self, member: &Member) -> NodeStatus {
         let replica = self.replica.borrow();
         let ready = replica.is_some() || self.spare.get();
         let member = Member { ready, group: self.group.get(), ..member.clone() };
         let leading = replica.as_ref().filter(|replica| replica.leads());
         let voters = leading.map(|replica| replica.replicas().voters);
         let holdings = replica.as_ref().map(|replica| replica.machine(TurnState::holdings));
-        Introduction { member, voters, holdings }
+        NodeStatus { member, voters, holdings }
     }
 
     fn replica_of(&self, group: GroupId) -> Option<Rc<Group<TurnState>>> {
@@ -176,11 +176,11 @@
 }
 
 /// The stores that may take part in a group: those that hold a replica of it and spare ones.
-fn candidates(group: GroupId, view: &View) -> Vec<Candidate> {
+fn candidates(group: GroupId, view: &ClusterView) -> Vec<Candidate> {
     let fit = |store: &Member| store.ready && store.group.is_none_or(|held| held == group);
     let candidate = |store: Member| Candidate {
         node: store.node,
-        lot: lot(group, store.node),
+        tie_break: lot(group, store.node),
         leaving: view.is_leaving(&store.vm),
         zone: store.zone,
     };
@@ -309,7 +309,7 @@
 /// The group that this store founds with others, once control has told the founders.
 async fn founded(frame: &Frame) -> Option<(GroupId, BTreeSet<NodeId>)> {
     loop {
-        let founding = frame.view.founding();
+        let founding = frame.view.initial_voters();
         if !founding.is_empty() {
             return state_groups().zip(founding).find(|(_, voters)| voters.contains(&frame.node));
         }
--- a/agatetrestle/src/deployment/tests.rs
+++ b/agatetrestle/src/deployment/tests.rs
@@ -45,7 +45,7 @@
 fn stores(count: u64, zones: u64) -> Vec<Candidate> {
     let store = |number: u64| Candidate {
         node: NodeId(number),
-        lot: number,
+        tie_break: number,
         zone: format!("zone-{}", number % zones).into(),
         leaving: false,
     };
--- a/agatetrestle/src/gateway/wire.rs
+++ b/agatetrestle/src/gateway/wire.rs
@@ -11,7 +11,7 @@
 use http::Uri;
 use snafu::Snafu;
 
-use crate::cluster::message::Emptying;
+use crate::cluster::message::DrainStatus;
 use crate::dispatch::Instance;
 use crate::dispatch::ServerLoad;
 use crate::routing::ApiKey;
@@ -133,7 +133,7 @@
     fn read_operator_request(&self, method: &Method, path: &str, body: &[u8]) -> Option<OperatorRequest>;
 
     /// Writes how far the emptying of a VM is.
-    fn write_drain_status(&self, emptying: Emptying) -> Vec<u8>;
+    fn write_drain_status(&self, emptying: DrainStatus) -> Vec<u8>;
 
     /// Reads a caller's question for addresses; none if it is none.
     fn read_lookup(&self, uri: &Uri) -> Option<Lookup>;
--- a/agatetrestle/src/node/control_port.rs
+++ b/agatetrestle/src/node/control_port.rs
@@ -15,7 +15,7 @@
 use crate::control::command::Configuration;
 use crate::control::command::ControlCommand;
 use crate::control::command::ControlReply;
-use crate::control::lease::InForce;
+use crate::control::lease::LeasedConfig;
 use crate::node::router::Router;
 use crate::ports::Control;
 use crate::ports::GroupError;
@@ -24,7 +24,7 @@
 /// What is in force on this node, with a way to change it.
 pub struct ControlPort {
     router: Rc<Router>,
-    in_force: RefCell<InForce>,
+    in_force: RefCell<LeasedConfig>,
     clock: Clock,
     drift: Duration,
     stopping: Rc<Cell<bool>>,
@@ -71,6 +71,6 @@
         if self.stopping.get() {
             return Err(NotTaking::Stopping);
         }
-        self.in_force.borrow().taking(self.clock.now())
+        self.in_force.borrow().check_lease(self.clock.now())
     }
 }
--- a/agatetrestle/src/turns/state.rs
+++ b/agatetrestle/src/turns/state.rs
@@ -15,7 +15,7 @@
 use crate::agreement::RestoreError;
 use crate::agreement::StateMachine;
 use crate::agreement::message::Position;
-use crate::cluster::message::Holdings;
+use crate::cluster::message::StoreUsage;
 use crate::codec::Blob;
 use crate::codec::decode;
 use crate::codec::encode;
@@ -113,8 +113,8 @@
 
     /// Counts and sizes reported to operators.
     #[must_use]
-    pub fn holdings(&self) -> Holdings {
-        Holdings {
+    pub fn holdings(&self) -> StoreUsage {
+        StoreUsage {
             turns: self.turns.len(),
             bytes: self.kept_bytes,
             room: self.room,
