--- a/agatetrestle/examples/slopes/members.rs
+++ b/agatetrestle/examples/slopes/members.rs
@@ -5,9 +5,9 @@
 use agatetrestle::clock::Timestamp;
 use agatetrestle::ids::NodeId;
 use agatetrestle::members::message::Digest;
+use agatetrestle::members::message::DigestPosition;
 use agatetrestle::members::message::Heartbeat;
-use agatetrestle::members::message::Told;
-use agatetrestle::members::table::Table;
+use agatetrestle::members::table::MemberTable;
 use agatetrestle::node::wire_members::write_digest;
 use agatetrestle_schema::peer_capnp::digest;
 
@@ -33,8 +33,8 @@
     }
 }
 
-fn table(nodes: u64) -> Table {
-    let mut table = Table::new(1, Duration::from_secs(1));
+fn table(nodes: u64) -> MemberTable {
+    let mut table = MemberTable::new(1, Duration::from_secs(1));
     for node in 1..=nodes {
         table.record(NOW, beat(node));
     }
@@ -49,18 +49,18 @@
 
 /// Bytes of a digest to a node that just started and to one that is up to date; time of a heartbeat.
 pub fn measure() -> Vec<Line> {
-    let full = SIZES.map(|nodes| (nodes as f64, coded(&table(nodes).digest(NOW, Told::default()))));
+    let full = SIZES.map(|nodes| (nodes as f64, coded(&table(nodes).digest(NOW, DigestPosition::default()))));
     let quiet = SIZES.map(|nodes| {
         let mut table = table(nodes);
-        let told = table.digest(NOW, Told::default()).told;
-        (nodes as f64, coded(&table.digest(NOW, told)))
+        let position = table.digest(NOW, DigestPosition::default()).position;
+        (nodes as f64, coded(&table.digest(NOW, position)))
     });
     let time = SIZES.map(|nodes| {
         let mut table = table(nodes);
-        let told = table.digest(NOW, Told::default()).told;
+        let position = table.digest(NOW, DigestPosition::default()).position;
         let time = nanoseconds(5, 2_000, |index| {
             table.record(NOW, beat(1 + u64::from(index) % nodes));
-            table.digest(NOW, told).members.len()
+            table.digest(NOW, position).members.len()
         });
         (nodes as f64, time)
     });
--- a/agatetrestle/src/members/signs.rs
+++ b/agatetrestle/src/members/leave_notices.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::members::message::Sign;
+use crate::members::message::LeaveNotice;
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Mark {
@@ -11,16 +11,16 @@
     changed: u64,
 }
 
-/// Signs by name, each with the highest incarnation that was seen to leave.
+/// Notices by name, each with the highest incarnation that was seen to leave.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Signs {
+pub struct LeaveNotices {
     marked: BTreeMap<Arc<str>, Mark>,
 }
 
-impl Signs {
+impl LeaveNotices {
     /// Adds a sign, noting `sequence` as the time of the change; an older one than known changes nothing.
     /// Returns whether it was news.
-    pub fn add(&mut self, sign: &Sign, sequence: u64) -> bool {
+    pub fn add(&mut self, sign: &LeaveNotice, sequence: u64) -> bool {
         let known = self.marked.get(&sign.name);
         if known.is_some_and(|known| known.incarnation >= sign.incarnation) {
             return false;
@@ -41,10 +41,12 @@
         self.marked.get(name).map(|marked| marked.incarnation)
     }
 
-    /// Signs that changed after `sequence`, in order of name.
+    /// Notices that changed after `sequence`, in order of name.
     #[must_use]
-    pub fn changed_after(&self, sequence: u64) -> Vec<Sign> {
+    pub fn changed_after(&self, sequence: u64) -> Vec<LeaveNotice> {
         let changed = self.marked.iter().filter(|(_, mark)| mark.changed > sequence);
-        changed.map(|(name, mark)| Sign { name: name.clone(), incarnation: mark.incarnation }).collect()
+        changed
+            .map(|(name, mark)| LeaveNotice { name: name.clone(), incarnation: mark.incarnation })
+            .collect()
     }
 }
--- a/agatetrestle/src/members/message.rs
+++ b/agatetrestle/src/members/message.rs
@@ -7,7 +7,7 @@
 
 /// A sign that a VM or backend server is leaving.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Sign {
+pub struct LeaveNotice {
     /// Name of the VM or backend server.
     pub name: Arc<str>,
     /// Incarnation that leaves; a newer one is live again.
@@ -35,15 +35,15 @@
     pub revision: u64,
     /// Whether a planned stop is under way.
     pub stopping: bool,
-    /// Signs that the node saw itself.
-    pub leaving: Vec<Sign>,
+    /// Notices that the node saw itself.
+    pub leaving: Vec<LeaveNotice>,
     /// The newest change that the receiver told the sender.
-    pub told: Told,
+    pub position: DigestPosition,
 }
 
 /// How far a control replica has told a node of changes among the members.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Told {
+pub struct DigestPosition {
     /// Epoch of the replica's table; another one after each restart.
     pub epoch: u64,
     /// Counts the changes of that table.
@@ -65,9 +65,9 @@
 
 /// A node in a digest.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Member {
+pub struct NodeRecord {
     /// The node's last heartbeat, without its signs.
-    pub beat: Heartbeat,
+    pub heartbeat: Heartbeat,
     /// What the control replica makes of it.
     pub state: MemberState,
 }
@@ -81,11 +81,11 @@
     /// replica can't confirm it.
     pub lease: Duration,
     /// Members that changed since the node was last told, or all; none from a replica that can't confirm.
-    pub members: Vec<Member>,
+    pub members: Vec<NodeRecord>,
     /// Leaving signs likewise.
-    pub leaving: Vec<Sign>,
+    pub leaving: Vec<LeaveNotice>,
     /// Whether these are all members and signs.
     pub full: bool,
     /// How far this digest tells.
-    pub told: Told,
+    pub position: DigestPosition,
 }
--- a/agatetrestle/src/members/mod.rs
+++ b/agatetrestle/src/members/mod.rs
@@ -3,9 +3,9 @@
 //! Every node sends a heartbeat to the control replicas and gets back a digest of all nodes. Any
 //! sign that a VM or backend server is leaving only ever adds, until a newer incarnation shows.
 
+pub mod leave_notices;
 pub mod message;
 pub mod roster;
-pub mod signs;
 pub mod table;
 #[cfg(test)]
 mod tests;
--- a/agatetrestle/src/members/roster.rs
+++ b/agatetrestle/src/members/roster.rs
@@ -7,13 +7,13 @@
 
 use crate::ids::NodeId;
 use crate::ids::ProgramId;
+use crate::members::leave_notices::LeaveNotices;
 use crate::members::message::Digest;
+use crate::members::message::DigestPosition;
 use crate::members::message::Heartbeat;
-use crate::members::message::Member;
+use crate::members::message::LeaveNotice;
 use crate::members::message::MemberState;
-use crate::members::message::Sign;
-use crate::members::message::Told;
-use crate::members::signs::Signs;
+use crate::members::message::NodeRecord;
 use crate::ports::MemberView;
 
 /// Addresses in one answer: the first to use and two to fall back on, in other failure domains.
@@ -22,19 +22,19 @@
 /// Newest word on every node.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
-    members: BTreeMap<NodeId, Member>,
-    signs: Signs,
-    /// Signs that this node saw itself, told in every heartbeat until a leader tells them back.
-    own: Vec<Sign>,
+    members: BTreeMap<NodeId, NodeRecord>,
+    signs: LeaveNotices,
+    /// Notices that this node saw itself, told in every heartbeat until a leader tells them back.
+    own: Vec<LeaveNotice>,
     /// The replica whose digest was last taken in, and how far it told.
-    told: Option<(NodeId, Told)>,
+    position: Option<(NodeId, DigestPosition)>,
     answers: u64,
 }
 
 impl Roster {
     /// Takes in a digest from a control replica. Only one with a lease tells of members, since a replica
     /// that is cut off hears from few nodes. Returns the signs that were news.
-    pub fn take_in(&mut self, from: NodeId, digest: &Digest) -> Vec<Sign> {
+    pub fn apply_digest(&mut self, from: NodeId, digest: &Digest) -> Vec<LeaveNotice> {
         if digest.lease.is_zero() {
             return Vec::new();
         }
@@ -42,10 +42,10 @@
             self.members.clear();
         }
         for member in &digest.members {
-            self.members.insert(member.beat.node, member.clone());
+            self.members.insert(member.heartbeat.node, member.clone());
         }
-        self.told = Some((from, digest.told));
-        let told_back = |own: &Sign| {
+        self.position = Some((from, digest.position));
+        let told_back = |own: &LeaveNotice| {
             digest.leaving.iter().any(|sign| sign.name == own.name && sign.incarnation >= own.incarnation)
         };
         self.own.retain(|own| !told_back(own));
@@ -56,12 +56,12 @@
     /// How far a replica has told this node. Another replica than the last one tells everything again,
     /// because its changes are counted otherwise.
     #[must_use]
-    pub fn told(&self, replica: NodeId) -> Told {
-        self.told.filter(|(from, _)| *from == replica).map(|(_, told)| told).unwrap_or_default()
+    pub fn position(&self, replica: NodeId) -> DigestPosition {
+        self.position.filter(|(from, _)| *from == replica).map(|(_, position)| position).unwrap_or_default()
     }
 
     /// Adds a sign that this node saw itself; returns whether it was news.
-    pub fn mark(&mut self, sign: &Sign) -> bool {
+    pub fn add_notice(&mut self, sign: &LeaveNotice) -> bool {
         let news = self.signs.add(sign, 0);
         if news {
             self.own.push(sign.clone());
@@ -69,9 +69,9 @@
         news
     }
 
-    /// Signs that this node saw itself and no leader has told back.
+    /// Notices that this node saw itself and no leader has told back.
     #[must_use]
-    pub fn own_signs(&self) -> Vec<Sign> {
+    pub fn pending_notices(&self) -> Vec<LeaveNotice> {
         self.own.clone()
     }
 
@@ -84,8 +84,8 @@
     /// The incarnation of the node on a VM, if one is known.
     #[must_use]
     pub fn incarnation_on(&self, vm: &str) -> Option<u64> {
-        let member = self.members.values().find(|member| &*member.beat.vm == vm)?;
-        Some(member.beat.incarnation)
+        let member = self.members.values().find(|member| &*member.heartbeat.vm == vm)?;
+        Some(member.heartbeat.incarnation)
     }
 
     /// All nodes for listings.
@@ -94,15 +94,15 @@
         self.members.values().map(|member| self.view(member)).collect()
     }
 
-    fn state(&self, member: &Member) -> MemberState {
-        let beat = &member.beat;
+    fn state(&self, member: &NodeRecord) -> MemberState {
+        let beat = &member.heartbeat;
         match member.state {
             MemberState::Live if self.signs.covers(&beat.vm, beat.incarnation) => MemberState::Leaving,
             state => state,
         }
     }
 
-    fn view(&self, member: &Member) -> MemberView {
+    fn view(&self, member: &NodeRecord) -> MemberView {
         let state = self.state(member);
         let name = match state {
             MemberState::Live => "live",
@@ -110,7 +110,7 @@
             MemberState::Silent => "silent",
             MemberState::Leaving => "leaving",
         };
-        let beat = &member.beat;
+        let beat = &member.heartbeat;
         MemberView {
             node: beat.node,
             vm: beat.vm.clone(),
@@ -134,7 +134,7 @@
     pub fn addresses(&mut self, program: Option<&ProgramId>) -> Vec<Arc<str>> {
         let key = program.map_or_else(|| self.next_new_key(), ToString::to_string);
         let live = self.members.values().filter(|member| self.state(member) == MemberState::Live);
-        let mut ranked: Vec<&Heartbeat> = live.map(|member| &member.beat).collect();
+        let mut ranked: Vec<&Heartbeat> = live.map(|member| &member.heartbeat).collect();
         // Rendezvous hashing moves only the programs of a node that left.
         ranked.sort_by_key(|beat| std::cmp::Reverse(xxh3_64_with_seed(key.as_bytes(), beat.node.0)));
         spread(&ranked).into_iter().map(|beat| beat.caller_address.clone()).collect()
--- a/agatetrestle/src/members/table.rs
+++ b/agatetrestle/src/members/table.rs
@@ -8,13 +8,13 @@
 
 use crate::clock::Timestamp;
 use crate::ids::NodeId;
+use crate::members::leave_notices::LeaveNotices;
 use crate::members::message::Digest;
+use crate::members::message::DigestPosition;
 use crate::members::message::Heartbeat;
-use crate::members::message::Member;
+use crate::members::message::LeaveNotice;
 use crate::members::message::MemberState;
-use crate::members::message::Sign;
-use crate::members::message::Told;
-use crate::members::signs::Signs;
+use crate::members::message::NodeRecord;
 
 /// Heartbeats that may be missed before a node counts as silent.
 const MISSED_BEATS: u32 = 3;
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 struct Row {
-    member: Member,
+    member: NodeRecord,
     heard: Timestamp,
     /// Number of the last visible change.
     changed: u64,
@@ -31,37 +31,44 @@
 
 /// Last heartbeat of every node, with all leaving signs.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct MemberTable {
     epoch: u64,
     interval: Duration,
     rows: BTreeMap<NodeId, Row>,
-    signs: Signs,
+    signs: LeaveNotices,
     sequence: u64,
     /// Number of the last change that a list of changed rows can't tell, such as a forgotten node.
     only_full: u64,
 }
 
-impl Table {
+impl MemberTable {
     /// An empty table for heartbeats of this interval; `epoch` differs after each restart.
     #[must_use]
     pub fn new(epoch: u64, interval: Duration) -> Self {
-        Self { epoch, interval, rows: BTreeMap::new(), signs: Signs::default(), sequence: 1, only_full: 0 }
+        Self {
+            epoch,
+            interval,
+            rows: BTreeMap::new(),
+            signs: LeaveNotices::default(),
+            sequence: 1,
+            only_full: 0,
+        }
     }
 
     /// Takes in a heartbeat; one of an older incarnation is a late message and changes nothing. Returns
     /// whether it was of the newest incarnation.
     pub fn record(&mut self, now: Timestamp, mut beat: Heartbeat) -> bool {
         for sign in std::mem::take(&mut beat.leaving) {
-            self.mark(&sign);
+            self.add_notice(&sign);
         }
-        beat.told = Told::default();
+        beat.position = DigestPosition::default();
         let node = beat.node;
         match self.rows.get_mut(&node) {
-            Some(row) if row.member.beat.incarnation > beat.incarnation => return false,
-            Some(row) if row.member.beat == beat => row.heard = now,
+            Some(row) if row.member.heartbeat.incarnation > beat.incarnation => return false,
+            Some(row) if row.member.heartbeat == beat => row.heard = now,
             _ => {
                 self.sequence += 1;
-                let member = Member { beat, state: MemberState::Live };
+                let member = NodeRecord { heartbeat: beat, state: MemberState::Live };
                 self.rows.insert(node, Row { member, heard: now, changed: self.sequence });
             }
         }
@@ -69,23 +76,23 @@
     }
 
     /// Adds a sign; an older one than known changes nothing.
-    pub fn mark(&mut self, sign: &Sign) {
+    pub fn add_notice(&mut self, sign: &LeaveNotice) {
         if self.signs.add(sign, self.sequence + 1) {
             self.sequence += 1;
         }
     }
 
     /// What a node must be told as of now that was told so far.
-    pub fn digest(&mut self, now: Timestamp, told: Told) -> Digest {
+    pub fn digest(&mut self, now: Timestamp, position: DigestPosition) -> Digest {
         self.judge_all(now);
-        let full = told.epoch != self.epoch || told.sequence < self.only_full;
-        let after = if full { 0 } else { told.sequence };
+        let full = position.epoch != self.epoch || position.sequence < self.only_full;
+        let after = if full { 0 } else { position.sequence };
         let changed = self.rows.values().filter(|row| row.changed > after);
         Digest {
             members: changed.map(|row| row.member.clone()).collect(),
             leaving: self.signs.changed_after(after),
             full,
-            told: Told { epoch: self.epoch, sequence: self.sequence },
+            position: DigestPosition { epoch: self.epoch, sequence: self.sequence },
             ..Digest::default()
         }
     }
@@ -109,8 +116,8 @@
     }
 }
 
-fn judge(now: Timestamp, interval: Duration, signs: &Signs, row: &Row) -> MemberState {
-    let beat = &row.member.beat;
+fn judge(now: Timestamp, interval: Duration, signs: &LeaveNotices, row: &Row) -> MemberState {
+    let beat = &row.member.heartbeat;
     if now.since(row.heard) > interval * MISSED_BEATS {
         MemberState::Silent
     } else if beat.stopping {
--- a/agatetrestle/src/members/tests.rs
+++ b/agatetrestle/src/members/tests.rs
@@ -6,12 +6,12 @@
 use crate::ids::NodeId;
 use crate::ids::ProgramId;
 use crate::members::message::Digest;
+use crate::members::message::DigestPosition;
 use crate::members::message::Heartbeat;
+use crate::members::message::LeaveNotice;
 use crate::members::message::MemberState;
-use crate::members::message::Sign;
-use crate::members::message::Told;
 use crate::members::roster::Roster;
-use crate::members::table::Table;
+use crate::members::table::MemberTable;
 use crate::members::vm_list;
 use crate::members::vm_list::VmChange;
 use crate::members::vm_list::VmListReader;
@@ -34,25 +34,25 @@
     Timestamp(count * 1_000_000)
 }
 
-fn table() -> Table {
-    let mut table = Table::new(1, INTERVAL);
+fn table() -> MemberTable {
+    let mut table = MemberTable::new(1, INTERVAL);
     for node in 1..=9 {
         table.record(seconds(0), beat(node, 5));
     }
     table
 }
 
-fn state(table: &mut Table, now: u64, node: u64) -> MemberState {
-    let members = table.digest(seconds(now), Told::default()).members;
-    members.iter().find(|member| member.beat.node == NodeId(node)).unwrap().state
+fn state(table: &mut MemberTable, now: u64, node: u64) -> MemberState {
+    let members = table.digest(seconds(now), DigestPosition::default()).members;
+    members.iter().find(|member| member.heartbeat.node == NodeId(node)).unwrap().state
 }
 
-fn digest(table: &mut Table, now: u64, told: Told) -> Digest {
-    Digest { lease: INTERVAL, ..table.digest(seconds(now), told) }
+fn digest(table: &mut MemberTable, now: u64, position: DigestPosition) -> Digest {
+    Digest { lease: INTERVAL, ..table.digest(seconds(now), position) }
 }
 
-fn sign(name: &str, incarnation: u64) -> Sign {
-    Sign { name: name.into(), incarnation }
+fn sign(name: &str, incarnation: u64) -> LeaveNotice {
+    LeaveNotice { name: name.into(), incarnation }
 }
 
 #[test]
@@ -74,8 +74,8 @@
 #[test]
 fn a_lagging_list_does_not_bring_back_what_another_sign_removed() {
     let mut table = table();
-    table.mark(&sign("vm-4", 5));
-    table.mark(&sign("vm-4", 3));
+    table.add_notice(&sign("vm-4", 5));
+    table.add_notice(&sign("vm-4", 3));
     table.record(seconds(1), beat(4, 5));
     assert_eq!(state(&mut table, 1, 4), MemberState::Leaving);
     table.record(seconds(2), beat(4, 6));
@@ -85,12 +85,12 @@
 #[test]
 fn addresses_spread_over_failure_domains_and_are_the_same_everywhere() {
     let mut table = table();
-    let digest = digest(&mut table, 1, Told::default());
+    let digest = digest(&mut table, 1, DigestPosition::default());
     let program = ProgramId::parse("vrsta/dawn-17").unwrap();
     let mut first = Roster::default();
-    first.take_in(LEADER, &digest);
+    first.apply_digest(LEADER, &digest);
     let mut second = Roster::default();
-    second.take_in(LEADER, &digest);
+    second.apply_digest(LEADER, &digest);
     let addresses = first.addresses(Some(&program));
     assert_eq!(second.addresses(Some(&program)), addresses);
     insta::assert_json_snapshot!(addresses);
@@ -106,11 +106,11 @@
 #[test]
 fn a_leaving_vm_is_in_no_answer_as_soon_as_any_sign_is_seen() {
     let mut table = table();
-    let digest = digest(&mut table, 1, Told::default());
+    let digest = digest(&mut table, 1, DigestPosition::default());
     let mut roster = Roster::default();
-    roster.take_in(LEADER, &digest);
-    assert!(roster.mark(&sign("vm-7", 5)));
-    roster.take_in(LEADER, &digest);
+    roster.apply_digest(LEADER, &digest);
+    assert!(roster.add_notice(&sign("vm-7", 5)));
+    roster.apply_digest(LEADER, &digest);
     for _ in 0..100 {
         assert!(!roster.addresses(None).iter().any(|address| &**address == "10.0.0.7:7400"));
     }
@@ -120,11 +120,13 @@
 fn a_replica_that_was_cut_off_does_not_change_the_picture() {
     let mut full = table();
     let mut roster = Roster::default();
-    roster.take_in(LEADER, &digest(&mut full, 1, Told::default()));
-    let mut cut_off = Table::new(2, INTERVAL);
+    roster.apply_digest(LEADER, &digest(&mut full, 1, DigestPosition::default()));
+    let mut cut_off = MemberTable::new(2, INTERVAL);
     cut_off.record(seconds(1), beat(1, 5));
-    roster
-        .take_in(NodeId(2), &Digest { lease: Duration::ZERO, ..cut_off.digest(seconds(1), Told::default()) });
+    roster.apply_digest(
+        NodeId(2),
+        &Digest { lease: Duration::ZERO, ..cut_off.digest(seconds(1), DigestPosition::default()) },
+    );
     assert_eq!(roster.views().len(), 9);
 }
 
@@ -132,16 +134,16 @@
 fn a_node_is_told_only_what_changed() {
     let mut table = table();
     let mut roster = Roster::default();
-    roster.take_in(LEADER, &digest(&mut table, 1, roster.told(LEADER)));
+    roster.apply_digest(LEADER, &digest(&mut table, 1, roster.position(LEADER)));
     assert_eq!(roster.views().len(), 9);
-    let quiet = digest(&mut table, 1, roster.told(LEADER));
+    let quiet = digest(&mut table, 1, roster.position(LEADER));
     assert!(quiet.members.is_empty() && !quiet.full);
     table.record(seconds(2), Heartbeat { revision: 7, ..beat(3, 5) });
-    let changed = digest(&mut table, 2, roster.told(LEADER));
+    let changed = digest(&mut table, 2, roster.position(LEADER));
     assert_eq!(changed.members.len(), 1);
-    roster.take_in(LEADER, &changed);
+    roster.apply_digest(LEADER, &changed);
     assert_eq!(roster.views().iter().find(|view| view.node == NodeId(3)).unwrap().revision, 7);
-    let silent = digest(&mut table, 4, roster.told(LEADER));
+    let silent = digest(&mut table, 4, roster.position(LEADER));
     assert_eq!(silent.members.len(), 8, "all but node 3 fell silent");
 }
 
@@ -149,13 +151,13 @@
 fn another_replica_tells_everything_again() {
     let mut first = table();
     let mut roster = Roster::default();
-    roster.take_in(LEADER, &digest(&mut first, 1, Told::default()));
-    assert_eq!(roster.told(NodeId(2)), Told::default());
-    let mut second = Table::new(2, INTERVAL);
+    roster.apply_digest(LEADER, &digest(&mut first, 1, DigestPosition::default()));
+    assert_eq!(roster.position(NodeId(2)), DigestPosition::default());
+    let mut second = MemberTable::new(2, INTERVAL);
     second.record(seconds(1), beat(1, 5));
-    let everything = digest(&mut second, 1, roster.told(NodeId(2)));
+    let everything = digest(&mut second, 1, roster.position(NodeId(2)));
     assert!(everything.full);
-    roster.take_in(NodeId(2), &everything);
+    roster.apply_digest(NodeId(2), &everything);
     assert_eq!(roster.views().len(), 1);
 }
 
@@ -163,11 +165,11 @@
 fn a_sign_that_a_node_saw_is_told_until_a_leader_tells_it_back() {
     let mut table = table();
     let mut roster = Roster::default();
-    roster.mark(&sign("vm-7", 5));
-    assert_eq!(roster.own_signs(), vec![sign("vm-7", 5)]);
-    table.record(seconds(1), Heartbeat { leaving: roster.own_signs(), ..beat(1, 5) });
-    roster.take_in(LEADER, &digest(&mut table, 1, roster.told(LEADER)));
-    assert!(roster.own_signs().is_empty());
+    roster.add_notice(&sign("vm-7", 5));
+    assert_eq!(roster.pending_notices(), vec![sign("vm-7", 5)]);
+    table.record(seconds(1), Heartbeat { leaving: roster.pending_notices(), ..beat(1, 5) });
+    roster.apply_digest(LEADER, &digest(&mut table, 1, roster.position(LEADER)));
+    assert!(roster.pending_notices().is_empty());
     assert_eq!(state(&mut table, 1, 7), MemberState::Leaving);
 }
 
@@ -178,9 +180,9 @@
 #[test]
 fn the_vm_list_tells_only_the_moment_of_leaving() {
     let mut reader = VmListReader::default();
-    let mut read = |text: String| reader.take_in(vm_list::parse(text.as_bytes()).unwrap());
+    let mut read = |text: String| reader.update(vm_list::parse(text.as_bytes()).unwrap());
     assert!(matches!(read(vm("live", 1))[..], [VmChange::Live(_)]));
-    assert!(matches!(read(vm("leaving", 1))[..], [VmChange::Left(_)]));
+    assert!(matches!(read(vm("leaving", 1))[..], [VmChange::Leaving(_)]));
     assert!(read(vm("leaving", 1)).is_empty(), "a lagging list says it again and again");
     assert!(matches!(&read(vm("live", 2))[..], [VmChange::Live(vm)] if vm.incarnation == 2));
     assert!(vm_list::parse(b"{\"vms\":[{\"name\":1}]}").is_err());
--- a/agatetrestle/src/members/vm_list.rs
+++ b/agatetrestle/src/members/vm_list.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum VmChange {
     /// The VM began to leave.
-    Left(Vm),
+    Leaving(Vm),
     /// The list shows it live; only a newer incarnation than the one that left counts.
     Live(Vm),
 }
@@ -71,7 +71,7 @@
 
 impl VmListReader {
     /// Takes in a list and returns what changed.
-    pub fn take_in(&mut self, list: Vec<Vm>) -> Vec<VmChange> {
+    pub fn update(&mut self, list: Vec<Vm>) -> Vec<VmChange> {
         let mut changes = Vec::new();
         for vm in list {
             if self.known.get(&vm.name) == Some(&vm) {
@@ -79,7 +79,7 @@
             }
             self.known.insert(vm.name.clone(), vm.clone());
             changes.push(match vm.state {
-                VmState::Leaving => VmChange::Left(vm),
+                VmState::Leaving => VmChange::Leaving(vm),
                 VmState::Live => VmChange::Live(vm),
             });
         }
--- a/agatetrestle/src/node/heartbeats.rs
+++ b/agatetrestle/src/node/heartbeats.rs
@@ -22,7 +22,7 @@
 use crate::ids::ProgramId;
 use crate::members::message::Digest;
 use crate::members::message::Heartbeat;
-use crate::members::message::Sign;
+use crate::members::message::LeaveNotice;
 use crate::members::roster::Roster;
 use crate::members::vm_list::Vm;
 use crate::members::vm_list::VmChange;
@@ -83,8 +83,8 @@
         Heartbeat {
             revision: self.control.configuration().revision,
             stopping: self.stopping.get(),
-            leaving: roster.own_signs(),
-            told: roster.told(replica),
+            leaving: roster.pending_notices(),
+            position: roster.position(replica),
             ..self.identity.clone()
         }
     }
@@ -144,7 +144,7 @@
             self.control.renew(sent, digest.lease, digest.revision);
             self.learn_addresses(digest);
         }
-        let news = self.roster.borrow_mut().take_in(from, digest);
+        let news = self.roster.borrow_mut().apply_digest(from, digest);
         for sign in news {
             self.announce(&sign);
         }
@@ -152,13 +152,13 @@
 
     fn learn_addresses(&self, digest: &Digest) {
         for member in &digest.members {
-            if let Ok(address) = member.beat.peer_address.parse() {
-                self.links.learn(member.beat.node, address);
+            if let Ok(address) = member.heartbeat.peer_address.parse() {
+                self.links.learn(member.heartbeat.node, address);
             }
         }
     }
 
-    fn announce(&self, sign: &Sign) {
+    fn announce(&self, sign: &LeaveNotice) {
         info!("{} is leaving as of incarnation {}.", sign.name, sign.incarnation);
         self.calls.step(Event::Leaving { name: sign.name.clone(), leaving: true });
     }
@@ -168,10 +168,10 @@
     pub fn take_vm_changes(&self, changes: Vec<VmChange>) {
         for change in changes {
             match change {
-                VmChange::Left(vm) => {
+                VmChange::Leaving(vm) => {
                     let node = self.roster.borrow().incarnation_on(&vm.name);
                     let incarnation = node.unwrap_or(vm.incarnation);
-                    self.mark(&Sign { name: vm.name, incarnation });
+                    self.mark(&LeaveNotice { name: vm.name, incarnation });
                 }
                 VmChange::Live(vm) => self.unmark_if_newer(&vm),
             }
@@ -187,8 +187,8 @@
     }
 
     /// Adds a sign that this node saw itself; the next heartbeat spreads it.
-    pub fn mark(&self, sign: &Sign) {
-        let news = self.roster.borrow_mut().mark(sign);
+    pub fn mark(&self, sign: &LeaveNotice) {
+        let news = self.roster.borrow_mut().add_notice(sign);
         if news {
             self.announce(sign);
         }
--- a/agatetrestle/src/node/registry.rs
+++ b/agatetrestle/src/node/registry.rs
@@ -10,8 +10,8 @@
 use crate::control::state::ControlState;
 use crate::members::message::Digest;
 use crate::members::message::Heartbeat;
-use crate::members::message::Sign;
-use crate::members::table::Table;
+use crate::members::message::LeaveNotice;
+use crate::members::table::MemberTable;
 use crate::node::group::Group;
 use crate::node::group::Verdict;
 use crate::node::links::Links;
@@ -19,7 +19,7 @@
 /// The control replica's side of heartbeats.
 pub struct Registry {
     group: Rc<Group<ControlState>>,
-    table: RefCell<Table>,
+    table: RefCell<MemberTable>,
     links: Rc<Links>,
     clock: Clock,
     lease: Duration,
@@ -37,12 +37,12 @@
         interval: Duration,
         lease: Duration,
     ) -> Self {
-        Self { group, table: RefCell::new(Table::new(epoch, interval)), links, clock, lease }
+        Self { group, table: RefCell::new(MemberTable::new(epoch, interval)), links, clock, lease }
     }
 
     /// Takes in a heartbeat. Only a leader that proved itself after the heartbeat came grants a lease.
     pub async fn heartbeat(&self, beat: Heartbeat) -> Digest {
-        let (node, address, told) = (beat.node, beat.peer_address.parse(), beat.told);
+        let (node, address, position) = (beat.node, beat.peer_address.parse(), beat.position);
         let newest = self.table.borrow_mut().record(self.clock.now(), beat);
         if let (true, Ok(address)) = (newest, address) {
             // Learnt first hand, because without a leader no digest tells where a replaced VM now is.
@@ -55,9 +55,9 @@
         }
         let mut table = self.table.borrow_mut();
         for (name, incarnation) in &configuration.leaving {
-            table.mark(&Sign { name: name.clone(), incarnation: *incarnation });
+            table.add_notice(&LeaveNotice { name: name.clone(), incarnation: *incarnation });
         }
-        let digest = table.digest(self.clock.now(), told);
+        let digest = table.digest(self.clock.now(), position);
         Digest { revision: configuration.revision, lease: self.lease, ..digest }
     }
 
--- a/agatetrestle/src/node/vm_list.rs
+++ b/agatetrestle/src/node/vm_list.rs
@@ -45,7 +45,7 @@
     loop {
         match within(interval, fetch(address)).await.unwrap_or(TimeoutSnafu.fail()) {
             Ok(bytes) => match parse(&bytes).map_err(FetchError::from) {
-                Ok(list) => heartbeats.take_vm_changes(reader.take_in(list)),
+                Ok(list) => heartbeats.take_vm_changes(reader.update(list)),
                 Err(failure) => debug!("The VM list is passed over: {failure}."),
             },
             Err(failure) => debug!("The VM list is passed over: {failure}."),
--- a/agatetrestle/src/node/wire_members.rs
+++ b/agatetrestle/src/node/wire_members.rs
@@ -11,11 +11,11 @@
 
 use crate::ids::NodeId;
 use crate::members::message::Digest;
+use crate::members::message::DigestPosition;
 use crate::members::message::Heartbeat;
-use crate::members::message::Member;
+use crate::members::message::LeaveNotice;
 use crate::members::message::MemberState;
-use crate::members::message::Sign;
-use crate::members::message::Told;
+use crate::members::message::NodeRecord;
 use crate::node::wire::WireError;
 
 fn text(reader: capnp::text::Reader<'_>) -> Result<Arc<str>, WireError> {
@@ -27,7 +27,7 @@
     u32::try_from(length).unwrap_or(u32::MAX)
 }
 
-fn write_signs(mut list: struct_list::Builder<'_, sign::Owned>, signs: &[Sign]) {
+fn write_signs(mut list: struct_list::Builder<'_, sign::Owned>, signs: &[LeaveNotice]) {
     for (index, sign) in (0..list.len()).zip(signs) {
         let mut builder = list.reborrow().get(index);
         builder.set_name(&*sign.name);
@@ -35,9 +35,9 @@
     }
 }
 
-fn read_signs(list: struct_list::Reader<'_, sign::Owned>) -> Result<Vec<Sign>, WireError> {
-    let read = |sign: sign::Reader<'_>| -> Result<Sign, WireError> {
-        Ok(Sign { name: text(sign.get_name()?)?, incarnation: sign.get_incarnation() })
+fn read_signs(list: struct_list::Reader<'_, sign::Owned>) -> Result<Vec<LeaveNotice>, WireError> {
+    let read = |sign: sign::Reader<'_>| -> Result<LeaveNotice, WireError> {
+        Ok(LeaveNotice { name: text(sign.get_name()?)?, incarnation: sign.get_incarnation() })
     };
     list.iter().map(read).collect()
 }
@@ -53,8 +53,8 @@
     builder.set_peer_address(&*beat.peer_address);
     builder.set_revision(beat.revision);
     builder.set_stopping(beat.stopping);
-    builder.set_digest_epoch(beat.told.epoch);
-    builder.set_digest_sequence(beat.told.sequence);
+    builder.set_digest_epoch(beat.position.epoch);
+    builder.set_digest_sequence(beat.position.sequence);
     write_signs(builder.init_leaving(count(beat.leaving.len())), &beat.leaving);
 }
 
@@ -75,12 +75,12 @@
         revision: reader.get_revision(),
         stopping: reader.get_stopping(),
         leaving: read_signs(reader.get_leaving()?)?,
-        told: Told { epoch: reader.get_digest_epoch(), sequence: reader.get_digest_sequence() },
+        position: DigestPosition { epoch: reader.get_digest_epoch(), sequence: reader.get_digest_sequence() },
     })
 }
 
-fn write_member(mut builder: member::Builder<'_>, member: &Member) {
-    let beat = &member.beat;
+fn write_member(mut builder: member::Builder<'_>, member: &NodeRecord) {
+    let beat = &member.heartbeat;
     builder.set_node(beat.node.0);
     builder.set_vm(&*beat.vm);
     builder.set_failure_domain(&*beat.failure_domain);
@@ -97,7 +97,7 @@
     });
 }
 
-fn read_member(reader: member::Reader<'_>) -> Result<Member, WireError> {
+fn read_member(reader: member::Reader<'_>) -> Result<NodeRecord, WireError> {
     let state = match reader.get_state()? {
         member::State::Live => MemberState::Live,
         member::State::Stopping => MemberState::Stopping,
@@ -115,17 +115,17 @@
         revision: reader.get_revision(),
         stopping: state == MemberState::Stopping,
         leaving: Vec::new(),
-        told: Told::default(),
+        position: DigestPosition::default(),
     };
-    Ok(Member { beat, state })
+    Ok(NodeRecord { heartbeat: beat, state })
 }
 
 /// Writes a digest.
 pub fn write_digest(mut builder: digest::Builder<'_>, digest: &Digest) {
     builder.set_revision(digest.revision);
     builder.set_lease_millis(u32::try_from(digest.lease.as_millis()).unwrap_or(u32::MAX));
-    builder.set_epoch(digest.told.epoch);
-    builder.set_sequence(digest.told.sequence);
+    builder.set_epoch(digest.position.epoch);
+    builder.set_sequence(digest.position.sequence);
     builder.set_full(digest.full);
     write_signs(builder.reborrow().init_leaving(count(digest.leaving.len())), &digest.leaving);
     let mut members = builder.init_members(count(digest.members.len()));
@@ -146,6 +146,6 @@
         members: reader.get_members()?.iter().map(read_member).collect::<Result<_, _>>()?,
         leaving: read_signs(reader.get_leaving()?)?,
         full: reader.get_full(),
-        told: Told { epoch: reader.get_epoch(), sequence: reader.get_sequence() },
+        position: DigestPosition { epoch: reader.get_epoch(), sequence: reader.get_sequence() },
     })
 }
