--- a/agatetrestle/src/cluster/contacts.rs
+++ b/agatetrestle/src/cluster/contacts.rs
@@ -1,8 +1,7 @@
-//! Where the other replicas of a group were last, kept on disk.
+//! Last known addresses of the other replicas of a group, stored on disk.
 //!
-//! After a restart of all machines control is back last, since its VMs have the least processor time. Stores that know
-//! each other elect their leader meanwhile before control has named them. What the file says is a hint:
-//! a message names the replica that it is for, and any other ignores it.
+//! They let stores elect a leader after a full restart before control is available. A stale address does no harm:
+//! a message names its target replica, and any other replica ignores it.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,35 +13,35 @@
 use crate::cluster::identity::write_atomically;
 use crate::ids::NodeId;
 
-const FILE: &str = "contacts";
+const CONTACTS_FILE: &str = "contacts";
 
-/// The replicas kept in a folder; none if there is no file yet. A line that can't be read names nobody.
+/// Reads the stored addresses; none if there is no file yet. Malformed lines are skipped.
 ///
 /// # Errors
 ///
-/// Fails if the file is there and can't be read.
+/// Fails if the file exists but can't be read.
 pub fn load(folder: &Path) -> io::Result<BTreeMap<NodeId, SocketAddrV4>> {
-    match fs::read(folder.join(FILE)) {
-        Ok(bytes) => Ok(String::from_utf8_lossy(&bytes).lines().filter_map(read_line).collect()),
-        Err(failure) if failure.kind() == io::ErrorKind::NotFound => Ok(BTreeMap::new()),
-        Err(failure) => Err(failure),
+    match fs::read(folder.join(CONTACTS_FILE)) {
+        Ok(bytes) => Ok(String::from_utf8_lossy(&bytes).lines().filter_map(parse_line).collect()),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(BTreeMap::new()),
+        Err(error) => Err(error),
     }
 }
 
-fn read_line(line: &str) -> Option<(NodeId, SocketAddrV4)> {
+fn parse_line(line: &str) -> Option<(NodeId, SocketAddrV4)> {
     let (node, address) = line.split_once(' ')?;
     Some((NodeId(node.parse().ok()?), address.parse().ok()?))
 }
 
-/// Keeps the replicas; blocks until they are on the disk.
+/// Stores the addresses durably; blocks until they are synced to disk.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be written; the one before then stands.
+/// Fails if the file can't be written; the previous file then remains.
 pub fn save(folder: &Path, contacts: &BTreeMap<NodeId, SocketAddrV4>) -> io::Result<()> {
     let mut lines = Vec::new();
     for (node, address) in contacts {
         writeln!(lines, "{} {address}", node.0)?;
     }
-    write_atomically(folder, FILE, &lines)
+    write_atomically(folder, CONTACTS_FILE, &lines)
 }
--- a/agatetrestle/src/cluster/encoded.rs
+++ b/agatetrestle/src/cluster/encoded.rs
@@ -1,7 +1,4 @@
-//! Parts of updates, encoded once for all processes that get the same.
-//!
-//! A change goes to every process of the deployment within a fraction of a second, from a control replica that has the
-//! least processor time of all; three hundred codings of one list would take it seconds.
+//! A cache of encoded lists, so that an update for hundreds of processes is encoded once.
 
 use std::cell::RefCell;
 
@@ -9,7 +6,7 @@
 
 use crate::codec::Packed;
 
-/// The newest packed form of one list.
+/// The encoded form of the newest version of a list, by a key that identifies the version.
 #[derive(Debug)]
 pub struct EncodedCache<K>(RefCell<Option<(K, Packed)>>);
 
@@ -20,14 +17,14 @@
 }
 
 impl<K: Copy + PartialEq> EncodedCache<K> {
-    /// The packed list of an edition, packed now if it is another one than before.
-    pub fn get_or_encode<T: Serialize>(&self, edition: K, list: impl FnOnce() -> T) -> Packed {
-        let mut held = self.0.borrow_mut();
-        match &*held {
-            Some((known, packed)) if *known == edition => packed.clone(),
+    /// Returns the encoded list, encoding it if the key differs from the cached one.
+    pub fn get_or_encode<T: Serialize>(&self, key: K, list: impl FnOnce() -> T) -> Packed {
+        let mut cached = self.0.borrow_mut();
+        match &*cached {
+            Some((known, packed)) if *known == key => packed.clone(),
             _ => {
                 let packed = Packed::new(&list());
-                *held = Some((edition, packed.clone()));
+                *cached = Some((key, packed.clone()));
                 packed
             }
         }
--- a/agatetrestle/src/cluster/identity.rs
+++ b/agatetrestle/src/cluster/identity.rs
@@ -1,7 +1,7 @@
-//! The number of a process, which tells one life of a disk from the next.
+//! Node IDs, which are stored with a replica's data.
 //!
-//! A replica that lost its files must not count as the one it was, since it forgot what it acknowledged. So the number
-//! stands in a file beside the replica's, and an empty disk gets a new number.
+//! A replica that lost its disk has lost the entries that it acknowledged, so it must not vote under its old ID. The ID is
+//! stored beside the replica's files, and an empty disk gets a new one.
 
 use std::fs;
 use std::io;
@@ -11,65 +11,65 @@
 
 use crate::ids::NodeId;
 
-const FILE: &str = "node-number";
-/// Set in drawn numbers, so that none equals the number that a founding member has by its IP.
-const DRAWN: u64 = 1 << 62;
+const NODE_ID_FILE: &str = "node-number";
+/// Set in random IDs, so that none equals an ID derived from an IPv4 address.
+const RANDOM_ID_FLAG: u64 = 1 << 62;
 
-/// The number of a founding control member, which the others know by its address alone.
+/// The ID of a founding control replica, derived from its address because the others know nothing else of it.
 #[must_use]
 pub fn founder_id(ip: Ipv4Addr) -> NodeId {
     NodeId(u32::from(ip).into())
 }
 
-/// The address behind a founding member's number; none for a drawn number.
+/// The address from which a founding replica's ID is derived; none for a random ID.
 #[must_use]
 pub fn founder_ip(node: NodeId) -> Option<Ipv4Addr> {
     u32::try_from(node.0).ok().map(Ipv4Addr::from)
 }
 
-/// A number that no other process has, from the operating system's randomness.
+/// Generates a unique ID from the random number generator of the operating system.
 ///
 /// # Errors
 ///
-/// Fails if the operating system gives none.
+/// Fails if the generator can't be read.
 pub fn random_id() -> io::Result<NodeId> {
     let mut bytes = [0; 8];
     io::Read::read_exact(&mut fs::File::open("/dev/urandom")?, &mut bytes)?;
-    Ok(NodeId((u64::from_le_bytes(bytes) >> 2) | DRAWN))
+    Ok(NodeId((u64::from_le_bytes(bytes) >> 2) | RANDOM_ID_FLAG))
 }
 
-/// The number kept in a folder, or `fresh` if there is none yet, which then lasts.
+/// Loads the ID stored in a folder; if there is none yet, stores and returns `fresh`.
 ///
 /// # Errors
 ///
-/// Fails if the folder can't be read or written, or holds what is no number.
+/// Fails if the folder can't be read or written, or if the stored ID is malformed.
 pub fn load_or_create(folder: &Path, fresh: NodeId) -> io::Result<NodeId> {
     fs::create_dir_all(folder)?;
-    let file = folder.join(FILE);
+    let file = folder.join(NODE_ID_FILE);
     match fs::read_to_string(&file) {
         Ok(text) => {
-            let number = text.trim().parse();
-            number.map(NodeId).map_err(|failure| io::Error::new(io::ErrorKind::InvalidData, failure))
+            let id = text.trim().parse();
+            id.map(NodeId).map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
         }
-        Err(failure) if failure.kind() == io::ErrorKind::NotFound => {
-            write_atomically(folder, FILE, format!("{}\n", fresh.0).as_bytes())?;
+        Err(error) if error.kind() == io::ErrorKind::NotFound => {
+            write_atomically(folder, NODE_ID_FILE, format!("{}\n", fresh.0).as_bytes())?;
             Ok(fresh)
         }
-        Err(failure) => Err(failure),
+        Err(error) => Err(error),
     }
 }
 
-/// Writes a file aside, renames it and syncs both, so that a crash leaves the whole file, or the one before.
+/// Replaces a file by syncing and renaming a temporary one, so that a crash leaves either the new file or the old one.
 ///
 /// # Errors
 ///
 /// Fails if the folder can't be written.
 pub(super) fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     let file = folder.join(name);
-    let aside = file.with_extension("tmp");
-    let mut out = fs::File::create(&aside)?;
-    out.write_all(bytes)?;
-    out.sync_all()?;
-    fs::rename(&aside, file)?;
+    let temporary = file.with_extension("tmp");
+    let mut output = fs::File::create(&temporary)?;
+    output.write_all(bytes)?;
+    output.sync_all()?;
+    fs::rename(&temporary, file)?;
     fs::File::open(folder)?.sync_all()
 }
--- a/agatetrestle/src/cluster/membership.rs
+++ b/agatetrestle/src/cluster/membership.rs
@@ -1,59 +1,59 @@
-//! The members that are alive, with an edition for each role that has to learn of changes.
+//! The live members, with list versions that depend on what a role can see.
 
 use agatetrestle_config::deployment::Role;
 
 use crate::cluster::message::ListVersion;
 use crate::cluster::message::Member;
 
-/// Who is there, and how often that changed.
+/// The live members and counts of their changes.
 #[derive(Debug)]
 pub struct Membership {
     members: Vec<Member>,
     count: u64,
     /// The count as of the last change among stores and control replicas.
-    replicas: u64,
+    replica_count: u64,
 }
 
 impl Default for Membership {
     fn default() -> Self {
-        // No process knows count 0, so that the first list is news to everyone.
-        Self { members: Vec::new(), count: 1, replicas: 1 }
+        // A process without a list reports count 0, so the first list counts as a change for all.
+        Self { members: Vec::new(), count: 1, replica_count: 1 }
     }
 }
 
 impl Membership {
-    /// The members.
+    /// All live members of every role.
     #[must_use]
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Takes in who is there now; whether that changed anything.
+    /// Replaces the live members and returns whether they changed.
     pub fn replace(&mut self, members: Vec<Member>) -> bool {
         if self.members == members {
             return false;
         }
         self.count += 1;
         if !replicas(&self.members).eq(replicas(&members)) {
-            self.replicas = self.count;
+            self.replica_count = self.count;
         }
         self.members = members;
         true
     }
 
-    /// The edition, under a leader, of the members that are visible to a role. Entries are visible to control alone, which
-    /// gives their addresses to callers; hundreds of them start and stop in a day, and that is no news to the rest.
+    /// The version, in a leader's term, of the members visible to a role. Entries are visible to control alone, which gives
+    /// their addresses to callers; they start and stop too often to notify other roles.
     #[must_use]
-    pub fn edition(&self, role: Role, term: u64) -> ListVersion {
-        let count = if role == Role::Control { self.count } else { self.replicas };
+    pub fn version(&self, role: Role, term: u64) -> ListVersion {
+        let count = if role == Role::Control { self.count } else { self.replica_count };
         ListVersion { term, count }
     }
 
-    /// The members that are visible to a role.
+    /// The members visible to a role.
     #[must_use]
     pub fn visible_to(&self, role: Role) -> Vec<Member> {
-        let wanted = |member: &&Member| role == Role::Control || member.role != Role::Entry;
-        self.members.iter().filter(wanted).cloned().collect()
+        let visible = |member: &&Member| role == Role::Control || member.role != Role::Entry;
+        self.members.iter().filter(visible).cloned().collect()
     }
 }
 
--- a/agatetrestle/src/cluster/message.rs
+++ b/agatetrestle/src/cluster/message.rs
@@ -1,4 +1,4 @@
-//! The reports of a process to control, the updates that answer them, and requests to the control group.
+//! Messages between processes and control: reports, updates, and requests to the control group.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,31 +14,31 @@
 use crate::ids::GroupId;
 use crate::ids::NodeId;
 
-/// A process as others know it.
+/// The description of a process that others see.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
-    /// The process; a process that lost its disk comes back under another number.
+    /// ID of the process; it changes when the process loses its disk.
     pub node: NodeId,
     /// Name of its VM.
     pub vm: Arc<str>,
-    /// What it does.
+    /// The role that it runs.
     pub role: Role,
     /// Its failure domain.
     pub zone: Arc<str>,
-    /// Where our own processes reach it.
+    /// Address for other processes of the deployment.
     pub peer: SocketAddrV4,
-    /// Where callers reach it, on an entry.
+    /// Address for callers, on an entry.
     pub callers: Option<SocketAddrV4>,
     /// Whether callers may be sent to it.
     pub ready: bool,
-    /// The state group of which a store holds a replica; none for a spare one, which any group may take in.
+    /// The state group of which a store holds a replica; none for a spare store, which may join any group.
     pub group: Option<GroupId>,
 }
 
-/// The editions that a process holds; a part is sent again once the current edition differs.
+/// The versions that a process holds; a list is sent once its current version differs.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KnownVersions {
-    /// Revision of the control group as of the table of routes.
+    /// Revision at which the routes were last changed.
     pub revision: u64,
     /// Version of the list of backend servers.
     pub backends: ListVersion,
@@ -46,36 +46,36 @@
     pub members: ListVersion,
 }
 
-/// Number of a list that a control leader keeps: its term and a count within it.
+/// Version of a list that a control leader maintains, ordered by term, then by count.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct ListVersion {
     /// Term of the leader.
     pub term: u64,
-    /// Counts the changes in that term.
+    /// Number of the list within the term.
     pub count: u64,
 }
 
-/// What a store holds.
+/// Memory usage of a store.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoreUsage {
-    /// Turns that programs may go on from.
+    /// Stored turns that programs can continue from.
     pub turns: usize,
-    /// Bytes that they take.
+    /// Bytes that the turns use.
     pub bytes: usize,
-    /// Bytes that they may take.
+    /// Capacity for turns, in bytes.
     pub room: usize,
     /// Programs with a budget.
     pub programs: usize,
 }
 
-/// The present state of a process, as it reports it.
+/// The current status of a process, as it reports it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct NodeStatus {
-    /// The process.
+    /// Its public description.
     pub member: Member,
-    /// Who takes part in the state group of a store, from its leader.
+    /// Voters of the state group that this store leads; none unless it leads one.
     pub voters: Option<BTreeSet<NodeId>>,
-    /// What a store holds.
+    /// Memory usage, from a store.
     pub holdings: Option<StoreUsage>,
 }
 
@@ -85,42 +85,41 @@
     }
 }
 
-/// What a process reports.
+/// A report of a process to control.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Report {
-    /// Of itself.
+    /// Current status of the process.
     #[serde(rename = "told")]
     pub introduction: NodeStatus,
-    /// The editions that it holds.
+    /// The versions that it holds.
     pub known: KnownVersions,
-    /// Milliseconds for which the call may be held.
+    /// Time for which the answer may be delayed until there is a change.
     #[serde(rename = "patience")]
     pub long_poll_ms: u32,
 }
 
-/// What a control replica answers.
+/// A control replica's answer to a report.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Update {
     /// The control leader with its address, if known.
     pub leader: Option<(NodeId, SocketAddrV4)>,
-    /// Whether this comes from a leader that proved itself after the report came.
+    /// Whether a quorum confirmed the sender as leader after it received the report.
     pub confirmed: bool,
     /// The control replicas with their addresses.
     pub control: BTreeMap<NodeId, SocketAddrV4>,
     /// Revision of the control group.
     pub revision: u64,
-    /// The table of routes, a [`crate::control::command::Document`], if its revision is newer than what the process knows.
+    /// The encoded [`crate::control::command::Document`] of routes, if its revision is newer than the reported one.
     pub routes: Option<(u64, Packed)>,
-    /// How the list of backend servers changed, a [`crate::cluster::backends::BackendChange`], if the process knows another
-    /// edition.
+    /// An encoded [`crate::cluster::backends::BackendChange`], if the process holds another version of the list.
     pub backends: Option<(ListVersion, Packed)>,
-    /// The members that the process has to do with, a list of [`Member`], if it knows another edition.
+    /// The encoded list of each [`Member`] visible to the process, if it holds another version.
     pub members: Option<(ListVersion, Packed)>,
-    /// Number of state groups; 0 before they were founded.
+    /// Number of state groups; 0 before they are created.
     pub groups: usize,
-    /// The first voters of each state group, for a store that is not opened yet.
+    /// The initial voters of each state group, for a store that is not ready yet.
     pub founding: Vec<BTreeSet<NodeId>>,
-    /// VMs that are to be emptied.
+    /// VMs that are being drained.
     pub leaving: BTreeSet<Arc<str>>,
 }
 
@@ -129,25 +128,25 @@
 pub enum ControlRequest {
     /// Commit a command.
     Command(ControlCommand),
-    /// Tell the table of routes in force, confirmed with a quorum.
+    /// Read the current routes, confirmed by a quorum.
     Routes,
-    /// How far the emptying of a VM is.
+    /// Read the drain status of a VM.
     Emptying(Arc<str>),
-    /// Tell an operator what the leader knows, confirmed with a quorum.
+    /// Read the overview of the deployment, confirmed by a quorum.
     Overview,
 }
 
-/// How far the emptying of a store's VM is.
+/// Progress of draining a store's VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum DrainStatus {
-    /// No such store is known.
+    /// There is no such store.
     Unknown,
-    /// Too few stores would be left.
+    /// Draining would leave too few stores.
     TooFew,
-    /// It was not asked for.
+    /// No drain was requested.
     NotAsked,
-    /// Under way.
+    /// The store is still a voter of a group, or a group has too few voters.
     Running,
-    /// Nothing depends on the VM any more.
+    /// No group needs the VM any more.
     Done,
 }
--- a/agatetrestle/src/cluster/mod.rs
+++ b/agatetrestle/src/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! How the processes of a deployment find each other and stay in agreement on what is in force.
+//! Cluster membership and distribution of configuration to the processes of a deployment.
 //!
-//! Every process reports to the leader of the control group, which holds the call until it has news; see
+//! Every process reports to the leader of the control group by long polling and gets updates in the answers; see
 //! docs/design/012-a-deployment-of-three-roles.md.
 
 pub mod backends;
--- a/agatetrestle/src/cluster/registry.rs
+++ b/agatetrestle/src/cluster/registry.rs
@@ -1,4 +1,4 @@
-//! The control replica's side of reports: the members that are alive, and the update that each is due.
+//! The registry of live members that a control replica maintains from reports, and the updates that answer them.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -38,26 +38,23 @@
 use crate::node::links::Links;
 use crate::node::peer_link::within;
 
-/// Time without a report after which a member counts as failed. Reports come every half second, so two are missing; an
-/// entry that was dropped by mistake is back with its next report.
+/// Time without a report after which a member counts as failed. It covers two reporting intervals; a member that was removed
+/// by mistake is added back by its next report.
 pub const FAILURE_DETECTION_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time for which a new leader keeps the members that it learned of as a follower, so that callers keep their
-/// addresses while the members report to it for the first time.
-const HANDOVER_GRACE: Duration = Duration::from_secs(3);
-/// Longest time for which a report without news is held, whatever it asks for.
+/// Time for which a new leader retains the members that it knew as a follower, until they have reported to it.
+const FAILOVER_GRACE_PERIOD: Duration = Duration::from_secs(3);
+/// Upper bound of the long poll that a report can request.
 const MAX_LONG_POLL: Duration = Duration::from_secs(2);
-
-/// Delay of an update that changes the members alone. When many processes start, it combines what would be an update
-/// for each.
-const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Delay of an update that changes only the members, so that changes of many processes at once are sent together.
+const MEMBER_BATCH_DELAY: Duration = Duration::from_millis(20);
 
 #[derive(Debug)]
-struct Seen {
-    introduction: NodeStatus,
-    until: Timestamp,
+struct TrackedNode {
+    status: NodeStatus,
+    expires_at: Timestamp,
 }
 
-/// What a control replica knows of the members, and the reports that it holds until there is news.
+/// Tracks the live members and delays the answers to reports until there is a change.
 pub struct ClusterRegistry {
     own: NodeId,
     own_address: SocketAddrV4,
@@ -65,17 +62,17 @@
     group: Rc<Group<ControlState>>,
     links: Rc<Links>,
     clock: Clock,
-    seen: RefCell<BTreeMap<NodeId, Seen>>,
+    tracked: RefCell<BTreeMap<NodeId, TrackedNode>>,
     membership: RefCell<Membership>,
     backends: RefCell<VersionedBackends>,
-    waiting: RefCell<Vec<oneshot::Sender<()>>>,
-    led: Cell<u64>,
-    encoded: EncodedParts,
+    waiters: RefCell<Vec<oneshot::Sender<()>>>,
+    last_led_term: Cell<u64>,
+    encoded: EncodedLists,
 }
 
-/// The encoded parts of updates, each shared by all updates that carry it.
+/// Encoded lists, each shared by all updates that contain it.
 #[derive(Default)]
-struct EncodedParts {
+struct EncodedLists {
     routes: EncodedCache<u64>,
     backends: EncodedCache<(ListVersion, ListVersion)>,
     all_members: EncodedCache<ListVersion>,
@@ -83,7 +80,7 @@
 }
 
 impl ClusterRegistry {
-    /// A registry without members.
+    /// Creates a registry without members for a control replica.
     #[must_use]
     pub fn new(own: &Member, group: Rc<Group<ControlState>>, links: Rc<Links>, clock: Clock) -> Rc<Self> {
         Rc::new(Self {
@@ -93,103 +90,102 @@
             group,
             links,
             clock,
-            seen: RefCell::default(),
+            tracked: RefCell::default(),
             membership: RefCell::default(),
             backends: RefCell::default(),
-            waiting: RefCell::default(),
-            led: Cell::new(0),
-            encoded: EncodedParts::default(),
+            waiters: RefCell::default(),
+            last_led_term: Cell::new(0),
+            encoded: EncodedLists::default(),
         })
     }
 
-    /// Answers a report: at once if there is news for the process, else once there is or the long poll ends. It is held too
-    /// while no leader is known: after a restart of all machines, repeated reports would take the processor time that the
-    /// replicas need for their election.
+    /// Answers a report as soon as there is a change for the process, or when the long poll ends. The answer is also delayed
+    /// while no leader is known, so that repeated reports do not take processor time from an election.
     pub async fn report(&self, report: Report) -> Update {
         self.record(&report);
         let long_poll = Duration::from_millis(report.long_poll_ms.into()).min(MAX_LONG_POLL);
         let deadline = self.clock.now() + long_poll;
-        self.hold_until(deadline, || self.group.leads() || self.group.leader().is_some()).await;
-        let update = Update { leader: self.leader(), control: self.control(), ..Update::default() };
+        self.wait_until(deadline, || self.group.leads() || self.group.leader().is_some()).await;
+        let update = Update { leader: self.leader(), control: self.control_addresses(), ..Update::default() };
         if !self.group.leads() {
             return update;
         }
-        self.hold_until(deadline, || self.has_news(&report)).await;
-        if self.has_only_members(&report) {
-            Timer::after(BATCH_DELAY).await;
+        self.wait_until(deadline, || self.has_changes(&report)).await;
+        if self.has_only_member_changes(&report) {
+            Timer::after(MEMBER_BATCH_DELAY).await;
         }
         if self.group.ready().await != Verdict::Ready {
             return update;
         }
-        self.fill(&report, update)
+        self.fill_update(&report, update)
     }
 
-    /// Holds a report until a condition is met, looked at whenever reports are woken, or until a time.
-    async fn hold_until(&self, deadline: Timestamp, met: impl Fn() -> bool) {
-        while !met() {
-            let left = deadline.since(self.clock.now());
+    /// Waits until a condition holds or a deadline passes. The condition is checked after each wakeup.
+    async fn wait_until(&self, deadline: Timestamp, condition: impl Fn() -> bool) {
+        while !condition() {
+            let remaining = deadline.since(self.clock.now());
             let (tx, rx) = oneshot::channel();
-            self.waiting.borrow_mut().push(tx);
-            if left.is_zero() || within(left, rx).await.is_none() {
+            self.waiters.borrow_mut().push(tx);
+            if remaining.is_zero() || within(remaining, rx).await.is_none() {
                 return;
             }
         }
     }
 
-    /// Looks again at every report that is held, such as after a change of the control state.
+    /// Wakes all pending reports so that they check for changes.
     pub fn wake(&self) {
-        self.waiting.borrow_mut().clear();
+        self.waiters.borrow_mut().clear();
     }
 
-    /// Drops failed members. Called a few times a second.
+    /// Removes failed members. Must be called a few times a second.
     pub fn refresh(&self) {
         let term = self.group.term();
-        if self.group.leads() && self.led.replace(term) != term {
+        if self.group.leads() && self.last_led_term.replace(term) != term {
             info!("This node leads control in term {term}.");
         }
-        self.relist();
-        self.waiting.borrow_mut().retain(|waiter| !waiter.is_canceled());
+        self.update_membership();
+        self.waiters.borrow_mut().retain(|waiter| !waiter.is_canceled());
     }
 
-    /// Takes over the members that a follower learned of, which stay for [`HANDOVER_GRACE`] if it becomes leader.
+    /// Adopts the members known to a follower, which are retained for [`FAILOVER_GRACE_PERIOD`] if it becomes leader.
     pub fn adopt_members(&self, members: &[Member]) {
         if self.group.leads() {
             return;
         }
-        let until = self.clock.now() + HANDOVER_GRACE;
-        let taken = members.iter().map(|member| {
-            let seen = Seen { introduction: member.clone().into(), until };
-            (member.node, seen)
+        let expires_at = self.clock.now() + FAILOVER_GRACE_PERIOD;
+        let adopted = members.iter().map(|member| {
+            let node = TrackedNode { status: member.clone().into(), expires_at };
+            (member.node, node)
         });
-        self.seen.replace(taken.collect());
-        self.relist();
+        self.tracked.replace(adopted.collect());
+        self.update_membership();
     }
 
-    /// Takes in the list of backend servers.
+    /// Replaces the list of backend servers.
     pub fn set_instances(&self, instances: Vec<Instance>) {
         if self.backends.borrow_mut().replace(instances) {
             self.wake();
         }
     }
 
-    /// Forgets the list of backend servers, so that no update carries it before it has been read again.
+    /// Discards the list of backend servers, so that no update contains it until it has been read again.
     pub fn clear_instances(&self) {
-        self.backends.borrow_mut().forget();
+        self.backends.borrow_mut().clear();
     }
 
-    /// Backend servers as last read, by this replica or the leader it follows.
+    /// The backend servers as last read by this replica or by the leader it follows.
     #[must_use]
     pub fn instances(&self) -> Rc<Vec<Instance>> {
         self.backends.borrow().list()
     }
 
-    /// The members that are alive.
+    /// The live members.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         self.membership.borrow().members().to_vec()
     }
 
-    /// Nodes of a role that could take part in its group.
+    /// Nodes of a role that can be voters.
     #[must_use]
     pub fn candidates(&self, role: Role) -> Vec<Candidate> {
         let leaving = self.group.machine(ControlState::configuration).leaving.clone();
@@ -203,28 +199,29 @@
         membership.members().iter().filter(|member| member.role == role).map(candidate).collect()
     }
 
-    /// How far the emptying of a store's VM is; `least` is the number of stores that each state group needs.
+    /// Drain status of a store's VM; `min_voters` is the number of voters that each state group needs.
     #[must_use]
-    pub fn drain_status(&self, vm: &str, least: usize) -> DrainStatus {
+    pub fn drain_status(&self, vm: &str, min_voters: usize) -> DrainStatus {
         let leaving = self.group.machine(ControlState::configuration).leaving.clone();
-        let asked = leaving.contains_key(vm);
+        let requested = leaving.contains_key(vm);
         let stores: Vec<Member> =
             self.members().into_iter().filter(|member| member.role == Role::Store).collect();
         let Some(store) = stores.iter().find(|member| &*member.vm == vm) else {
-            return if asked { DrainStatus::Done } else { DrainStatus::Unknown };
+            return if requested { DrainStatus::Done } else { DrainStatus::Unknown };
         };
         let groups = self.group.machine(|state| state.initial_voters().len());
-        if !asked {
-            let staying = stores.iter().filter(|other| !leaving.contains_key(&other.vm)).count();
-            return if staying <= least * groups.max(1) {
+        if !requested {
+            let remaining = stores.iter().filter(|other| !leaving.contains_key(&other.vm)).count();
+            return if remaining <= min_voters * groups.max(1) {
                 DrainStatus::TooFew
             } else {
                 DrainStatus::NotAsked
             };
         }
-        let voters = self.state_groups();
-        let sound = |voters: &BTreeSet<NodeId>| !voters.contains(&store.node) && voters.len() >= least;
-        if voters.len() == groups && voters.values().all(sound) {
+        let voters = self.state_voters();
+        let independent =
+            |voters: &BTreeSet<NodeId>| !voters.contains(&store.node) && voters.len() >= min_voters;
+        if voters.len() == groups && voters.values().all(independent) {
             DrainStatus::Done
         } else {
             DrainStatus::Running
@@ -232,19 +229,19 @@
     }
 
     /// The voters of each state group, as reported by its leader.
-    fn state_groups(&self) -> BTreeMap<GroupId, BTreeSet<NodeId>> {
-        let seen = self.seen.borrow();
-        let voters = |seen: &Seen| Some((seen.introduction.member.group?, seen.introduction.voters.clone()?));
-        seen.values().filter_map(voters).collect()
+    fn state_voters(&self) -> BTreeMap<GroupId, BTreeSet<NodeId>> {
+        let tracked = self.tracked.borrow();
+        let voters = |node: &TrackedNode| Some((node.status.member.group?, node.status.voters.clone()?));
+        tracked.values().filter_map(voters).collect()
     }
 
-    /// The overview for operators.
+    /// The overview of the deployment for operators.
     #[must_use]
     pub fn overview(&self) -> Overview {
-        let seen = self.seen.borrow();
-        let led = |seen: &Seen| seen.introduction.voters.is_some().then_some(seen.introduction.member.node);
-        let state_leaders = seen.values().filter_map(led).collect();
-        let held = |(node, seen): (&NodeId, &Seen)| Some((*node, seen.introduction.holdings?));
+        let tracked = self.tracked.borrow();
+        let leader = |node: &TrackedNode| node.status.voters.is_some().then_some(node.status.member.node);
+        let state_leaders = tracked.values().filter_map(leader).collect();
+        let usage = |(id, node): (&NodeId, &TrackedNode)| Some((*id, node.status.holdings?));
         let (version, leaving) = self.group.machine(|state| {
             let leaving = state.configuration().leaving.keys().cloned().collect();
             (state.routes().map(|document| document.version), leaving)
@@ -254,11 +251,11 @@
             term: self.group.term(),
             version,
             control: self.group.replicas().voters,
-            groups: self.state_groups(),
+            groups: self.state_voters(),
             state_leaders,
             members: self.members(),
             leaving,
-            holdings: seen.iter().filter_map(held).collect(),
+            holdings: tracked.iter().filter_map(usage).collect(),
             backends: self.instances().to_vec(),
         }
     }
@@ -268,64 +265,64 @@
         if member.role != Role::Entry {
             self.links.learn(member.node, SocketAddr::V4(member.peer));
         }
-        let until = self.clock.now() + FAILURE_DETECTION_TIMEOUT;
-        let mut seen = self.seen.borrow_mut();
-        if let Some(known) = seen.get_mut(&member.node)
-            && known.introduction.member == *member
+        let expires_at = self.clock.now() + FAILURE_DETECTION_TIMEOUT;
+        let mut tracked = self.tracked.borrow_mut();
+        if let Some(known) = tracked.get_mut(&member.node)
+            && known.status.member == *member
         {
-            // Nearly every report. It changes no member, so the list need not be built again.
-            *known = Seen { introduction: report.introduction.clone(), until };
+            // Most reports do not change the member, so the list need not be rebuilt.
+            *known = TrackedNode { status: report.introduction.clone(), expires_at };
             return;
         }
-        // A process that comes back with an empty disk has another number at the same address.
-        seen.retain(|node, other| *node == member.node || other.introduction.member.peer != member.peer);
-        seen.insert(member.node, Seen { introduction: report.introduction.clone(), until });
-        drop(seen);
-        self.relist();
+        // A process that lost its disk has a new ID at the same address.
+        tracked.retain(|node, other| *node == member.node || other.status.member.peer != member.peer);
+        tracked.insert(member.node, TrackedNode { status: report.introduction.clone(), expires_at });
+        drop(tracked);
+        self.update_membership();
     }
 
-    fn relist(&self) {
+    fn update_membership(&self) {
         let now = self.clock.now();
-        let mut seen = self.seen.borrow_mut();
-        seen.retain(|_, seen| seen.until > now);
-        let live: Vec<Member> = seen.values().map(|seen| seen.introduction.member.clone()).collect();
-        drop(seen);
+        let mut tracked = self.tracked.borrow_mut();
+        tracked.retain(|_, node| node.expires_at > now);
+        let live: Vec<Member> = tracked.values().map(|node| node.status.member.clone()).collect();
+        drop(tracked);
         if self.membership.borrow_mut().replace(live) {
             self.wake();
         }
     }
 
-    /// The editions that are current for a process of a role.
-    fn editions(&self, role: Role) -> KnownVersions {
+    /// The current versions for a process of a role.
+    fn current_versions(&self, role: Role) -> KnownVersions {
         let term = self.group.term();
         let revision = self.group.machine(|state| state.routes().map_or(0, |document| document.revision));
         KnownVersions {
             revision,
-            backends: self.backends.borrow().edition(term).unwrap_or_default(),
-            members: self.membership.borrow().edition(role, term),
+            backends: self.backends.borrow().version(term).unwrap_or_default(),
+            members: self.membership.borrow().version(role, term),
         }
     }
 
-    fn has_news(&self, report: &Report) -> bool {
-        self.has_decisions(report) || self.has_only_members(report)
+    fn has_changes(&self, report: &Report) -> bool {
+        self.has_urgent_changes(report) || self.has_only_member_changes(report)
     }
 
-    /// Whether there is another table of routes or list of backend servers, which are sent without delay.
-    fn has_decisions(&self, report: &Report) -> bool {
-        let now = self.editions(report.introduction.member.role);
-        let listed = now.backends != ListVersion::default();
-        now.revision > report.known.revision || (listed && now.backends != report.known.backends)
+    /// Whether there are new routes or another list of backend servers, which are sent without delay.
+    fn has_urgent_changes(&self, report: &Report) -> bool {
+        let current = self.current_versions(report.introduction.member.role);
+        let loaded = current.backends != ListVersion::default();
+        current.revision > report.known.revision || (loaded && current.backends != report.known.backends)
     }
 
-    /// Whether the members are all that is new.
-    fn has_only_members(&self, report: &Report) -> bool {
-        let now = self.editions(report.introduction.member.role);
-        !self.has_decisions(report) && now.members != report.known.members
+    /// Whether only the members changed.
+    fn has_only_member_changes(&self, report: &Report) -> bool {
+        let current = self.current_versions(report.introduction.member.role);
+        !self.has_urgent_changes(report) && current.members != report.known.members
     }
 
-    fn fill(&self, report: &Report, mut update: Update) -> Update {
+    fn fill_update(&self, report: &Report, mut update: Update) -> Update {
         let role = report.introduction.member.role;
-        let (editions, known) = (self.editions(role), report.known);
+        let (current, known) = (self.current_versions(role), report.known);
         update.confirmed = true;
         update.leader = Some((self.own, self.own_address));
         self.group.machine(|state| {
@@ -340,15 +337,16 @@
             }
             update.leaving = state.configuration().leaving.keys().cloned().collect();
         });
-        if editions.backends != ListVersion::default() && editions.backends != known.backends {
-            let change = || self.backends.borrow().change_since(known.backends, editions.backends.term);
-            let packed = self.encoded.backends.get_or_encode((known.backends, editions.backends), change);
-            update.backends = Some((editions.backends, packed));
+        if current.backends != ListVersion::default() && current.backends != known.backends {
+            let change = || self.backends.borrow().change_since(known.backends, current.backends.term);
+            let packed = self.encoded.backends.get_or_encode((known.backends, current.backends), change);
+            update.backends = Some((current.backends, packed));
         }
-        if editions.members != known.members {
-            let pack = if role == Role::Control { &self.encoded.all_members } else { &self.encoded.replicas };
-            let packed = pack.get_or_encode(editions.members, || self.membership.borrow().visible_to(role));
-            update.members = Some((editions.members, packed));
+        if current.members != known.members {
+            let cache =
+                if role == Role::Control { &self.encoded.all_members } else { &self.encoded.replicas };
+            let packed = cache.get_or_encode(current.members, || self.membership.borrow().visible_to(role));
+            update.members = Some((current.members, packed));
         }
         update
     }
@@ -358,16 +356,16 @@
         Some((leader, self.address(leader)?))
     }
 
-    /// Where a control replica is: by its own report, or by its number if it founded the group.
+    /// Address of a control replica: from its report, or derived from its ID if it is a founding replica.
     fn address(&self, node: NodeId) -> Option<SocketAddrV4> {
         if node == self.own {
             return Some(self.own_address);
         }
-        let seen = self.seen.borrow().get(&node).map(|seen| seen.introduction.member.peer);
-        seen.or_else(|| founder_ip(node).map(|ip| SocketAddrV4::new(ip, self.peer_port)))
+        let reported = self.tracked.borrow().get(&node).map(|node| node.status.member.peer);
+        reported.or_else(|| founder_ip(node).map(|ip| SocketAddrV4::new(ip, self.peer_port)))
     }
 
-    fn control(&self) -> BTreeMap<NodeId, SocketAddrV4> {
+    fn control_addresses(&self) -> BTreeMap<NodeId, SocketAddrV4> {
         let voters = self.group.replicas().voters;
         voters.into_iter().filter_map(|node| Some((node, self.address(node)?))).collect()
     }
--- a/agatetrestle/src/cluster/repair.rs
+++ b/agatetrestle/src/cluster/repair.rs
@@ -1,4 +1,4 @@
-//! Replaces failed voters of a group, as [`crate::cluster::voters`] decides; it acts on the leader alone.
+//! Replaces failed voters of a group, as decided by [`crate::cluster::voters`]; only the leader acts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,22 +14,22 @@
 use crate::node::group::Group;
 use crate::node::group::Verdict;
 
-/// Time between two checks. A replacement takes three steps and has to be done within seconds.
+/// Interval between checks. A replacement takes three membership changes and has to complete within seconds.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time without an answer after which a voter may be replaced that does not report to control either.
-const FAILED_AFTER: Duration = Duration::from_secs(1);
-/// Time without an answer after which a voter may be replaced though it reports to control, since it is partitioned from
-/// this leader. One that is only slow answers sooner, and copying the state to a successor would slow the leader down.
-const PARTITIONED_AFTER: Duration = Duration::from_secs(3);
+/// Time without an answer after which a voter is replaced if it does not report to control either.
+const UNREPORTED_VOTER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time without an answer after which a voter is replaced although it reports to control, because it is partitioned from the
+/// leader. A voter that is only slow answers sooner.
+const PARTITIONED_VOTER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The nodes that could take part now.
+/// Returns the nodes that can currently be voters.
 pub type CandidateSource = Rc<dyn Fn() -> Vec<Candidate>>;
 
-/// Keeps a group at full strength until the task is dropped.
+/// Maintains the voters of a group until the task is dropped.
 pub async fn repair_forever<M: StateMachine + 'static>(
     group: Rc<Group<M>>,
     candidates: CandidateSource,
-    wanted: VoterCounts,
+    counts: VoterCounts,
 ) {
     loop {
         Timer::after(CHECK_INTERVAL).await;
@@ -37,18 +37,18 @@
             continue;
         }
         let candidates = candidates();
-        let silent = failed_voters(
-            &group.silent_voters(FAILED_AFTER),
-            &group.silent_voters(PARTITIONED_AFTER),
+        let failed = failed_voters(
+            &group.silent_voters(UNREPORTED_VOTER_TIMEOUT),
+            &group.silent_voters(PARTITIONED_VOTER_TIMEOUT),
             &candidates,
         );
         let replicas = group.replicas();
-        let Some(change) = next_change(&replicas, &candidates, &silent, wanted) else {
+        let Some(change) = next_change(&replicas, &candidates, &failed, counts) else {
             continue;
         };
         let verdict = group.change_replicas(change).await;
         if verdict == Verdict::Changed {
-            info!("Members of a group changed by {change:?} from {replicas:?}; silent were {silent:?}.");
+            info!("Members of a group changed by {change:?} from {replicas:?}; silent were {failed:?}.");
         }
     }
 }
--- a/agatetrestle/src/cluster/report_log.rs
+++ b/agatetrestle/src/cluster/report_log.rs
@@ -1,6 +1,6 @@
-//! What became of the reports to each control replica, so that a process that is behind can say why.
+//! Outcomes of the reports to each control replica, logged while no leader is found.
 //!
-//! docs/OPERATIONS.md tells how to read the lines.
+//! For the meaning of the lines see docs/OPERATIONS.md.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,25 +14,25 @@
 use crate::cluster::message::KnownVersions;
 use crate::node::peer_link::LinkError;
 
-/// What became of one report.
+/// The outcome of a report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportOutcome {
-    /// The leader answered, and proved itself after the report came.
+    /// The leader answered, confirmed by a quorum after it received the report.
     Confirmed,
-    /// A control replica answered that does not lead.
+    /// The control replica that answered is not the leader.
     NotLeader,
     /// No connection could be made.
     Unreachable,
     /// The connection broke.
     Broken,
-    /// Nothing was answered in time.
+    /// No answer arrived in time.
     Timeout,
-    /// The answer can't be read.
+    /// The answer could not be decoded.
     Unreadable,
 }
 
 impl ReportOutcome {
-    /// Its name in logs and metrics.
+    /// The name in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -47,8 +47,8 @@
 }
 
 impl From<&LinkError> for ReportOutcome {
-    fn from(failure: &LinkError) -> Self {
-        match failure {
+    fn from(error: &LinkError) -> Self {
+        match error {
             LinkError::Connect { .. } | LinkError::ConnectTimeout => Self::Unreachable,
             LinkError::Broken { .. } => Self::Broken,
             LinkError::Timeout => Self::Timeout,
@@ -60,9 +60,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Reports {
     sent: u64,
-    /// When the first one was sent of those that have had no answer since.
+    /// When the oldest unanswered report was sent.
     unanswered_since: Option<Timestamp>,
-    last: Option<ReportOutcome>,
+    last_outcome: Option<ReportOutcome>,
 }
 
 /// The reports to each control replica since the leader last answered.
@@ -72,38 +72,38 @@
 }
 
 impl ReportLog {
-    /// Notes that a report goes out.
-    pub fn begin(&self, now: Timestamp, contact: SocketAddrV4) {
+    /// Records that a report is sent.
+    pub fn record_sent(&self, now: Timestamp, contact: SocketAddrV4) {
         let mut reports = self.reports.borrow_mut();
-        let first = Reports { sent: 0, unanswered_since: None, last: None };
-        let entry = reports.entry(contact).or_insert(first);
+        let empty = Reports { sent: 0, unanswered_since: None, last_outcome: None };
+        let entry = reports.entry(contact).or_insert(empty);
         entry.sent += 1;
         entry.unanswered_since.get_or_insert(now);
     }
 
-    /// Notes what became of a report.
-    pub fn end(&self, contact: SocketAddrV4, outcome: ReportOutcome) {
+    /// Records the outcome of a report; a confirmed one clears the log.
+    pub fn record_outcome(&self, contact: SocketAddrV4, outcome: ReportOutcome) {
         if outcome == ReportOutcome::Confirmed {
             self.reports.borrow_mut().clear();
             return;
         }
         if let Some(entry) = self.reports.borrow_mut().get_mut(&contact) {
-            entry.last = Some(outcome);
+            entry.last_outcome = Some(outcome);
             if matches!(outcome, ReportOutcome::NotLeader | ReportOutcome::Unreadable) {
                 entry.unanswered_since = None;
             }
         }
     }
 
-    /// Writes a line for each control replica that was asked. Called once a search, which bounds the lines.
+    /// Logs a line for each control replica that a report was sent to. Call it once per search to bound the volume.
     pub fn write(&self, now: Timestamp, known: KnownVersions, confirmed_at: Option<Timestamp>) {
         for line in self.lines(now, known, confirmed_at) {
             info!("{line}");
         }
     }
 
-    /// A line for each control replica that was asked: what became of the last report, for how long none has been
-    /// answered, and how old what the process knows is.
+    /// A line for each control replica that a report was sent to: the last outcome, the age of the oldest unanswered report,
+    /// and the age of the last confirmed update.
     #[must_use]
     pub fn lines(
         &self,
@@ -114,8 +114,8 @@
         let age = Millis(confirmed_at.map(|at| now.since(at)));
         let revision = known.revision;
         let line = |(contact, reports): (&SocketAddrV4, &Reports)| {
-            let Reports { sent, unanswered_since, last } = reports;
-            let outcome = last.map_or("none", ReportOutcome::name);
+            let Reports { sent, unanswered_since, last_outcome } = reports;
+            let outcome = last_outcome.map_or("none", ReportOutcome::name);
             let unanswered = Millis(unanswered_since.map(|since| now.since(since)));
             format!(
                 "reports contact={contact} sent={sent} outcome={outcome} unanswered_ms={unanswered} \
@@ -126,11 +126,11 @@
     }
 }
 
-/// A span in whole milliseconds, or nothing.
+/// A duration in whole milliseconds; none prints nothing.
 struct Millis(Option<Duration>);
 
 impl fmt::Display for Millis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.map_or(Ok(()), |span| write!(f, "{}", span.as_millis()))
+        self.0.map_or(Ok(()), |duration| write!(f, "{}", duration.as_millis()))
     }
 }
--- a/agatetrestle/src/cluster/service.rs
+++ b/agatetrestle/src/cluster/service.rs
@@ -1,4 +1,4 @@
-//! What the replicas of a deployment's groups offer to other nodes.
+//! Services that the replicas of a deployment's groups offer to other nodes.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -31,13 +31,13 @@
 use crate::turns::command::TurnCommand;
 use crate::turns::state::TurnState;
 
-/// A control replica.
+/// The service of a control replica.
 pub struct ControlService {
-    /// The replica.
+    /// Replica of the control group.
     pub group: Rc<Group<ControlState>>,
-    /// Who is there.
+    /// Registry of the live members.
     pub registry: Rc<ClusterRegistry>,
-    /// Stores that must stay when one is emptied.
+    /// Stores that each state group must keep when one is drained.
     pub min_stores: usize,
 }
 
@@ -50,13 +50,13 @@
                 read(&self.group, |_| self.registry.drain_status(&vm, self.min_stores)).await
             }
             Ok(ControlRequest::Overview) => read(&self.group, |_| self.registry.overview()).await,
-            Err(failure) => Submission::Refused(failure.to_string().into()),
+            Err(error) => Submission::Refused(error.to_string().into()),
         }
     }
 
     async fn commit(&self, command: ControlCommand) -> Submission {
         let submission = commit(&self.group, encode(&command)).await;
-        // What was just committed goes to everyone whose report is held.
+        // Pending reports may be answered with the committed change.
         self.registry.wake();
         submission
     }
@@ -78,25 +78,25 @@
     }
 }
 
-/// A replica of a state group that holds turns. While it leads it tells the group how much time passes, and weighs what begins.
+/// The service of a state group's replica. As the leader it adds the elapsed time to commands and admits new turns.
 pub struct TurnService {
     group: Rc<Group<TurnState>>,
     clock: Clock,
-    time: Cell<LeaderClock>,
-    openings: Rc<RefCell<TurnAdmission>>,
+    leader_clock: Cell<LeaderClock>,
+    admission: Rc<RefCell<TurnAdmission>>,
 }
 
 impl TurnService {
-    /// A desk for a replica.
+    /// Creates the service of a replica.
     #[must_use]
-    pub fn new(group: Rc<Group<TurnState>>, clock: Clock, openings: Rc<RefCell<TurnAdmission>>) -> Self {
-        Self { group, clock, time: Cell::default(), openings }
+    pub fn new(group: Rc<Group<TurnState>>, clock: Clock, admission: Rc<RefCell<TurnAdmission>>) -> Self {
+        Self { group, clock, leader_clock: Cell::default(), admission }
     }
 
     fn elapsed(&self) -> Duration {
-        let mut time = self.time.get();
-        let elapsed = time.advance(self.group.term(), self.clock.now());
-        self.time.set(time);
+        let mut clock = self.leader_clock.get();
+        let elapsed = clock.advance(self.group.term(), self.clock.now());
+        self.leader_clock.set(clock);
         elapsed
     }
 
@@ -113,16 +113,16 @@
         if let TurnCommand::Take(take) = command {
             return self.take(&take).await;
         }
-        let weighed = self
+        let admitted = self
             .group
-            .machine(|state| self.openings.borrow_mut().check(now, self.group.term(), &command, state));
-        match weighed {
+            .machine(|state| self.admission.borrow_mut().check(now, self.group.term(), &command, state));
+        match admitted {
             Ok(()) => {
                 let submission = commit(&self.group, payload).await;
                 if matches!(submission, Submission::Applied(_)) {
                     let now = self.clock.now();
                     self.group
-                        .machine(|state| self.openings.borrow_mut().record_applied(now, &command, state));
+                        .machine(|state| self.admission.borrow_mut().record_applied(now, &command, state));
                 }
                 submission
             }
@@ -130,12 +130,12 @@
         }
     }
 
-    /// Takes a request from a team's account, which only a leader may that proved itself after it was asked.
+    /// Takes a request from a team's account, which requires that a quorum confirms the leader after the request arrived.
     async fn take(&self, take: &Take) -> Submission {
         match self.group.ready().await {
             Verdict::Ready => {
                 let (now, term) = (self.clock.now(), self.group.term());
-                Submission::Applied(encode(&self.openings.borrow_mut().take(now, term, take)))
+                Submission::Applied(encode(&self.admission.borrow_mut().take(now, term, take)))
             }
             verdict => outcome(verdict),
         }
--- a/agatetrestle/src/cluster/subscriber.rs
+++ b/agatetrestle/src/cluster/subscriber.rs
@@ -1,4 +1,4 @@
-//! Reports of a process to the control leader, and the updates that it gets in return.
+//! The client side of reports: finds the control leader, reports to it and applies the updates.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -40,35 +40,35 @@
 use crate::ports::Freshness;
 use crate::ports::Recorder;
 
-/// Time for which the leader may hold a report that brings no news: a process is thus heard from twice a second.
-const LONG_POLL: Duration = Duration::from_millis(500);
-/// Time for the answer to a report, from when it is sent; then another control replica is asked.
+/// Time for which the leader may delay its answer until there is a change. It sets the reporting interval.
+const REPORT_LONG_POLL: Duration = Duration::from_millis(500);
+/// Time to wait for the answer to a report before another control replica is tried.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time before a control replica is asked again that does not lead or can't be reached; an election takes longer.
-const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after which the control replicas to ask are gathered anew, since answers and settings may name others.
-const SEARCH_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause before a report is sent again to a control replica that is unreachable or not the leader.
+const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Duration of a search for the leader, after which the addresses are read again from updates and settings.
+const LEADER_SEARCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Gives the present state of the process.
+/// Returns the current status of the process.
 pub type StatusSource = Rc<dyn Fn() -> NodeStatus>;
 
-/// Why a report has no answer.
+/// The reason why a report has no usable answer.
 #[derive(Debug, Snafu)]
 enum ReportError {
     /// The call failed.
     #[snafu(display("{source}"))]
     Call {
-        /// What became of it.
+        /// The error of the connection.
         source: LinkError,
     },
-    /// The answer comes from another build.
+    /// The answer could not be decoded, for example because its sender runs another version.
     #[snafu(display("{source}"))]
     Answer {
-        /// What can't be decoded.
+        /// The decoding error.
         source: DecodeError,
     },
-    /// The process has the address of a control replica and is none.
-    #[snafu(display("this process is no control replica"))]
+    /// The address belongs to this process, which is not a control replica.
+    #[snafu(display("the address belongs to this process, which is not a control replica"))]
     OwnAddress,
 }
 
@@ -82,96 +82,98 @@
     }
 }
 
-/// The reports of one process.
+/// Sends the reports of a process and applies the answers.
 pub struct Subscriber {
-    /// Gives the present state of the process.
+    /// Returns the current status of the process.
     pub status_source: StatusSource,
-    /// Control addresses from the settings; they may be out of date.
+    /// Control addresses from the settings, possibly outdated.
     pub seeds: RefCell<Vec<SocketAddrV4>>,
-    /// What the process knows.
+    /// The view that updates are applied to.
     pub view: Rc<ClusterView>,
-    /// This process's own registry, on control.
+    /// The registry of this process, on a control replica.
     pub registry: Option<Rc<ClusterRegistry>>,
-    /// The ways to other nodes, which learn addresses from the lists.
+    /// Connections to other nodes, updated with the addresses of members.
     pub links: Rc<Links>,
-    /// The process's clock.
+    /// Clock for timeouts and ages.
     pub clock: Clock,
-    /// Links by address, since a seed's number is not known.
+    /// Connections by address, since the node ID behind an address may be unknown.
     pub by_address: RefCell<BTreeMap<SocketAddrV4, Rc<PeerLink>>>,
-    /// What became of them.
+    /// Outcomes of recent reports.
     pub log: ReportLog,
-    /// Where their outcomes and times are counted.
+    /// Records outcomes and durations of reports as metrics.
     pub recorder: Rc<dyn Recorder>,
     /// Notified when the process has to report before the long poll ends.
     pub notify: (Sender<()>, Receiver<()>),
 }
 
 impl Subscriber {
-    /// Reports at once, since the state of the process has changed.
+    /// Requests a report without delay, after the status of the process has changed.
     pub fn report_now(&self) {
-        // A full channel means that it reports again anyway.
+        // A full channel means that a report is already requested.
         let _ = self.notify.0.try_send(());
     }
 
     /// Reports until the task is dropped.
     pub async fn run(self: Rc<Self>) {
-        let mut reached = None;
+        let mut last_leader = None;
         loop {
-            let Either::Left((leader, _)) = select(pin!(self.round()), pin!(self.notify.1.recv())).await
+            let Either::Left((leader, _)) =
+                select(pin!(self.report_to_leader()), pin!(self.notify.1.recv())).await
             else {
                 continue;
             };
-            if leader != reached {
+            if leader != last_leader {
                 match leader {
                     Some(leader) => info!("Control is reached: {leader} leads."),
                     None => warn!("Control is lost: nobody leads among {:?}.", self.contacts()),
                 }
-                reached = leader;
+                last_leader = leader;
             }
         }
     }
 
-    /// Reports once to the last leader. If that does not confirm, reports to all known control replicas at the same time,
-    /// so that one that is unreachable does not delay the others.
-    async fn round(&self) -> Option<SocketAddrV4> {
+    /// Reports once to the last known leader. If it does not confirm, reports to all known control replicas concurrently, so
+    /// that an unreachable one does not delay the others.
+    async fn report_to_leader(&self) -> Option<SocketAddrV4> {
         if let Some((_, leader)) = self.view.leader()
             && self.report_to(leader).await
         {
             return Some(leader);
         }
         let contacts = self.contacts();
-        let mut asked: FuturesUnordered<_> = contacts.iter().map(|contact| self.ask_on(*contact)).collect();
-        let found = within(SEARCH_TIMEOUT, asked.next()).await.flatten();
+        let mut searches: FuturesUnordered<_> =
+            contacts.iter().map(|contact| self.poll_until_leader(*contact)).collect();
+        let found = within(LEADER_SEARCH_TIMEOUT, searches.next()).await.flatten();
         if found.is_none() {
             self.log.write(self.clock.now(), self.view.known(), self.view.confirmed_at());
         }
         found
     }
 
-    /// Reports to a control replica until it confirms as the leader.
-    async fn ask_on(&self, contact: SocketAddrV4) -> SocketAddrV4 {
+    /// Reports to a control replica until it confirms that it is the leader.
+    async fn poll_until_leader(&self, contact: SocketAddrV4) -> SocketAddrV4 {
         while !self.report_to(contact).await {
-            Timer::after(RETRY_INTERVAL).await;
+            Timer::after(LEADER_POLL_INTERVAL).await;
         }
         contact
     }
 
-    /// Reports to a control replica; whether it confirmed as the leader.
+    /// Reports to a control replica and returns whether it confirmed that it is the leader.
     async fn report_to(&self, contact: SocketAddrV4) -> bool {
         let sent = self.clock.now();
-        self.log.begin(sent, contact);
-        let answered = self.ask(contact).await;
-        let outcome = match &answered {
+        self.log.record_sent(sent, contact);
+        let answer = self.send_report(contact).await;
+        let outcome = match &answer {
             Ok(update) if update.confirmed => ReportOutcome::Confirmed,
             Ok(_) => ReportOutcome::NotLeader,
-            Err(failure) => failure.outcome(),
+            Err(error) => error.outcome(),
         };
-        self.log.end(contact, outcome);
+        self.log.record_outcome(contact, outcome);
         self.recorder.report(outcome.name(), self.clock.now().since(sent));
-        let update = match answered {
+        let update = match answer {
             Ok(update) => update,
-            Err(failure @ ReportError::Answer { .. }) => {
-                warn!("The update of {contact} can't be read: {failure}.");
+            Err(error @ ReportError::Answer { .. }) => {
+                warn!("Could not decode the update from {contact}: {error}.");
                 return false;
             }
             Err(_) => return false,
@@ -182,30 +184,30 @@
         let known = self.view.known().members;
         self.view.apply_update(sent, update);
         if self.view.known().members != known {
-            self.learn_members();
+            self.learn_addresses();
         }
         outcome == ReportOutcome::Confirmed
     }
 
-    /// The known control replicas and the seeds.
+    /// Addresses of the known control replicas and of the settings.
     fn contacts(&self) -> BTreeSet<SocketAddrV4> {
         let mut contacts: BTreeSet<SocketAddrV4> = self.view.control().values().copied().collect();
         contacts.extend(&*self.seeds.borrow());
         contacts
     }
 
-    fn learn_members(&self) {
+    fn learn_addresses(&self) {
         for member in self.view.members().iter().filter(|member| member.role != Role::Entry) {
             self.links.learn(member.node, SocketAddr::V4(member.peer));
         }
     }
 
-    async fn ask(&self, contact: SocketAddrV4) -> Result<Update, ReportError> {
+    async fn send_report(&self, contact: SocketAddrV4) -> Result<Update, ReportError> {
         let introduction = (self.status_source)();
-        let own = introduction.member.peer == contact;
-        let long_poll_ms = u32::try_from(LONG_POLL.as_millis()).unwrap_or(u32::MAX);
+        let is_own_address = introduction.member.peer == contact;
+        let long_poll_ms = u32::try_from(REPORT_LONG_POLL.as_millis()).unwrap_or(u32::MAX);
         let report = Report { introduction, known: self.view.known(), long_poll_ms };
-        if own {
+        if is_own_address {
             let registry = self.registry.clone().ok_or(ReportError::OwnAddress)?;
             return Ok(registry.report(report).await);
         }
--- a/agatetrestle/src/cluster/subscriber/tests.rs
+++ b/agatetrestle/src/cluster/subscriber/tests.rs
@@ -15,13 +15,13 @@
 use crate::node::peer_server::PeerServer;
 use crate::node::service::ReportService;
 
-/// Searches after which the leader must have been found; the third already begins after the deadline of a report.
-const SEARCHES: u32 = 6;
+/// Searches within which the leader must be found.
+const MAX_SEARCHES: u32 = 6;
 
-/// A control replica that comes to lead.
-struct Contact(Cell<bool>);
+/// A control replica that can become the leader.
+struct FakeReplica(Cell<bool>);
 
-impl ReportService for Contact {
+impl ReportService for FakeReplica {
     fn take(&self, _report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>> {
         let update = Update { confirmed: self.0.get(), ..Update::default() };
         Box::pin(async move { Ok(encode(&update)) })
@@ -60,26 +60,26 @@
 }
 
 #[test]
-fn a_process_finds_the_leader_behind_a_connection_that_went_silent() {
+fn finds_leader_behind_stalled_connection() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let contact = Rc::new(Contact(Cell::new(false)));
-        let server = PeerServer { reports: Some(contact.clone()), ..PeerServer::default() };
+        let replica = Rc::new(FakeReplica(Cell::new(false)));
+        let server = PeerServer { reports: Some(replica.clone()), ..PeerServer::default() };
         let forwarder = Forwarder::start(&executor, listener.local_addr().unwrap()).await.unwrap();
         executor.spawn(peer_server::serve(Rc::new(server), listener, Rc::downgrade(&executor))).detach();
         let subscriber = subscriber(forwarder.address, &executor);
-        // A connection to a follower, which then loses power and comes back as the leader.
-        let asked = subscriber.contacts().first().copied().unwrap();
-        assert!(!subscriber.report_to(asked).await);
+        // The connection leads to a follower, which loses power and restarts as the leader.
+        let address = subscriber.contacts().first().copied().unwrap();
+        assert!(!subscriber.report_to(address).await);
         forwarder.forget();
-        contact.0.set(true);
-        for _ in 0..SEARCHES {
-            // A search ends before the report that it sent is late.
-            if within(REPORT_TIMEOUT / 2, subscriber.round()).await.flatten().is_some() {
+        replica.0.set(true);
+        for _ in 0..MAX_SEARCHES {
+            // Each search is cancelled before the timeout of its report.
+            if within(REPORT_TIMEOUT / 2, subscriber.report_to_leader()).await.flatten().is_some() {
                 return;
             }
         }
-        panic!("the leader was not found in {SEARCHES} searches");
+        panic!("the leader was not found in {MAX_SEARCHES} searches");
     }));
 }
--- a/agatetrestle/src/cluster/view.rs
+++ b/agatetrestle/src/cluster/view.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the deployment, by the updates it got.
+//! The view that a process has of the deployment, built from updates.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -22,9 +22,9 @@
 use crate::dispatch::Instance;
 use crate::ids::NodeId;
 
-/// Notified of each part that changes.
+/// Receives notifications of changes to the view.
 pub trait Watcher {
-    /// Another table of routes is in force.
+    /// The routes changed.
     fn routes(&self, _document: &Document) {}
 
     /// The backend servers changed.
@@ -34,12 +34,12 @@
     fn members(&self, _members: &[Member]) {}
 }
 
-/// A watcher that takes nothing in.
+/// A watcher that ignores all notifications.
 pub struct NoopWatcher;
 
 impl Watcher for NoopWatcher {}
 
-/// What a process knows. Lists only go forward: an edition of an older term is not believed.
+/// The view of one process. Lists of a lower version are ignored.
 pub struct ClusterView {
     known: Cell<KnownVersions>,
     leader: Cell<Option<(NodeId, SocketAddrV4)>>,
@@ -47,7 +47,7 @@
     members: RefCell<Vec<Member>>,
     instances: RefCell<Rc<Vec<Instance>>>,
     groups: Cell<usize>,
-    founding: RefCell<Vec<BTreeSet<NodeId>>>,
+    initial_voters: RefCell<Vec<BTreeSet<NodeId>>>,
     leaving: RefCell<BTreeSet<Arc<str>>>,
     confirmed_at: Cell<Option<Timestamp>>,
     watcher: RefCell<Rc<dyn Watcher>>,
@@ -62,7 +62,7 @@
             members: RefCell::default(),
             instances: RefCell::default(),
             groups: Cell::default(),
-            founding: RefCell::default(),
+            initial_voters: RefCell::default(),
             leaving: RefCell::default(),
             confirmed_at: Cell::default(),
             watcher: RefCell::new(Rc::new(NoopWatcher)),
@@ -71,116 +71,115 @@
 }
 
 impl ClusterView {
-    /// Sets who is notified of changes.
+    /// Sets the watcher, which replaces the previous one.
     pub fn watch(&self, watcher: Rc<dyn Watcher>) {
         self.watcher.replace(watcher);
     }
 
-    /// Takes in an update; `asked` is when the report went out. One that is not confirmed tells only where
-    /// control is.
-    pub fn apply_update(&self, asked: Timestamp, update: Update) {
+    /// Applies an update; `sent_at` is when its report was sent. Of an unconfirmed update, only the control addresses count.
+    pub fn apply_update(&self, sent_at: Timestamp, update: Update) {
         self.control.borrow_mut().extend(update.control);
         if !update.confirmed {
             return;
         }
         self.leader.set(update.leader);
-        self.confirmed_at.set(Some(asked));
+        self.confirmed_at.set(Some(sent_at));
         self.groups.set(update.groups);
-        self.founding.replace(update.founding);
+        self.initial_voters.replace(update.founding);
         self.leaving.replace(update.leaving);
         let mut known = self.known.get();
         let watcher = self.watcher.borrow().clone();
-        if let Some(document) = newer::<_, Document>(&mut known.revision, update.routes) {
+        if let Some(document) = decode_newer::<_, Document>(&mut known.revision, update.routes) {
             watcher.routes(&document);
         }
-        let edition = known.backends;
-        if let Some(change) = newer::<_, BackendChange>(&mut known.backends, update.backends) {
-            match change.apply(edition, &self.instances()) {
+        let base = known.backends;
+        if let Some(change) = decode_newer::<_, BackendChange>(&mut known.backends, update.backends) {
+            match change.apply(base, &self.instances()) {
                 Some(instances) => {
                     watcher.backends(&instances);
                     self.instances.replace(Rc::new(instances));
                 }
-                // The next report asks from this edition on.
-                None => known.backends = edition,
+                // The next report requests a change from the unchanged base version.
+                None => known.backends = base,
             }
         }
-        if let Some(members) = newer::<_, Vec<Member>>(&mut known.members, update.members) {
+        if let Some(members) = decode_newer::<_, Vec<Member>>(&mut known.members, update.members) {
             watcher.members(&members);
             self.members.replace(members);
         }
         self.known.set(known);
     }
 
-    /// The editions that the process holds.
+    /// The versions that the process holds, as sent in its reports.
     #[must_use]
     pub fn known(&self) -> KnownVersions {
         self.known.get()
     }
 
-    /// The control leader, by the last confirmed update.
+    /// The control leader according to the last confirmed update.
     #[must_use]
     pub fn leader(&self) -> Option<(NodeId, SocketAddrV4)> {
         self.leader.get()
     }
 
-    /// All control replicas that any update named.
+    /// All control replicas named in any update.
     #[must_use]
     pub fn control(&self) -> BTreeMap<NodeId, SocketAddrV4> {
         self.control.borrow().clone()
     }
 
-    /// The members by the last list.
+    /// The members according to the last list.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         self.members.borrow().clone()
     }
 
-    /// The stores by the last list.
+    /// The stores according to the last list.
     #[must_use]
     pub fn stores(&self) -> Vec<Member> {
         self.members.borrow().iter().filter(|member| member.role == Role::Store).cloned().collect()
     }
 
-    /// The backend servers by the last list.
+    /// The backend servers according to the last list.
     #[must_use]
     pub fn instances(&self) -> Rc<Vec<Instance>> {
         self.instances.borrow().clone()
     }
 
-    /// Number of state groups; 0 before an update named any.
+    /// Number of state groups; 0 if it is not known yet.
     #[must_use]
     pub fn groups(&self) -> usize {
         self.groups.get()
     }
 
-    /// The first voters of each state group, while this process is a store that is not opened yet.
+    /// The initial voters of each state group, while this process is a store that is not ready yet.
     #[must_use]
     pub fn initial_voters(&self) -> Vec<BTreeSet<NodeId>> {
-        self.founding.borrow().clone()
+        self.initial_voters.borrow().clone()
     }
 
-    /// Whether a VM is to be emptied.
+    /// Whether a VM is being drained.
     #[must_use]
     pub fn is_leaving(&self, vm: &str) -> bool {
         self.leaving.borrow().contains(vm)
     }
 
-    /// When the report went out to which the last confirmed update was the answer.
+    /// When the report was sent that the last confirmed update answers.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<Timestamp> {
         self.confirmed_at.get()
     }
 }
 
-/// A part of an update, if it is newer than what is known. What can't be read comes from another build: the process goes on with
-/// what it has, and asks for it no more.
-fn newer<K: Ord, T: DeserializeOwned>(known: &mut K, part: Option<(K, Packed)>) -> Option<T> {
-    let (edition, packed) = part.filter(|(edition, _)| edition > known)?;
-    *known = edition;
+/// Decodes a list of an update if it is newer than the known version. If decoding fails, for example because the sender runs
+/// another version, the list is skipped and its version counts as known.
+fn decode_newer<K: Ord, T: DeserializeOwned>(known: &mut K, list: Option<(K, Packed)>) -> Option<T> {
+    let (version, packed) = list.filter(|(version, _)| version > known)?;
+    *known = version;
     match packed.unpack() {
         Ok(list) => Some(list),
-        Err(failure) => {
-            warn!("A part of an update can't be read: {failure}.");
+        Err(error) => {
+            warn!("Could not decode a list of an update: {error}.");
             None
         }
     }
--- a/agatetrestle/src/cluster/voters.rs
+++ b/agatetrestle/src/cluster/voters.rs
@@ -1,7 +1,7 @@
-//! Who should take part in a group, as a pure decision that its leader makes again and again.
+//! Decides the next membership change of a group, without side effects.
 //!
-//! One step at a time: a candidate joins as a learner, becomes a voter once it has caught up, and only then is a voter
-//! let go that is silent or leaving. So a group never counts on fewer members than before.
+//! A replacement is made one step at a time: a candidate joins as a learner, becomes a voter, and only then is a failed or
+//! leaving voter removed, so that the group never has fewer healthy voters than before.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,85 +11,84 @@
 use crate::agreement::Replicas;
 use crate::ids::NodeId;
 
-/// A node that could take part.
+/// A node that can be a voter.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// The node.
+    /// ID of the node.
     pub node: NodeId,
-    /// Decides between candidates that are equally fit. Groups that draw from the same spare nodes draw different lots, so that
-    /// they seldom want the same one.
+    /// Breaks ties between equal candidates; the lowest value wins. Groups use different values for the same node, so that
+    /// they seldom choose the same spare.
     pub tie_break: u64,
     /// Its failure domain.
     pub zone: Arc<str>,
-    /// Whether it is to be emptied.
+    /// Whether its VM is being drained.
     pub leaving: bool,
 }
 
-/// How many voters a group should have.
+/// The number of voters that a group should have.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct VoterCounts {
-    /// Voters that are sought while there are candidates.
+    /// Healthy voters to reach while there are candidates.
     pub target: usize,
-    /// Sound voters that must stay before one that is not sound is let go.
+    /// Healthy voters required before another voter is removed.
     pub min: usize,
 }
 
-/// The voters that count as lost: silent ones of which control hears nothing either, and those that stay silent for much
-/// longer. `silent` and `long_silent` have not answered the leader for a short and a long while; `candidates` are those
-/// that control hears from.
+/// The voters that count as failed. `silent` and `long_silent` have not answered the leader for a short and a long timeout;
+/// those in `silent` count only if they are not among the candidates, which report to control, or are in `long_silent` too.
 #[must_use]
 pub fn failed_voters(
     silent: &[NodeId],
     long_silent: &[NodeId],
     candidates: &[Candidate],
 ) -> BTreeSet<NodeId> {
-    let heard = |node: &NodeId| candidates.iter().any(|candidate| candidate.node == *node);
-    let gone = |node: &&NodeId| !heard(node) || long_silent.contains(node);
-    silent.iter().filter(gone).copied().collect()
+    let reports = |node: &NodeId| candidates.iter().any(|candidate| candidate.node == *node);
+    let failed = |node: &&NodeId| !reports(node) || long_silent.contains(node);
+    silent.iter().filter(failed).copied().collect()
 }
 
-/// The next change, if any. `candidates` are the nodes that were heard from lately; `silent` are voters that have not
-/// answered the leader for a while.
+/// The next membership change, if one is needed. `candidates` are the nodes that report to control.
 #[must_use]
 pub fn next_change(
     replicas: &Replicas,
     candidates: &[Candidate],
-    silent: &BTreeSet<NodeId>,
-    wanted: VoterCounts,
+    failed: &BTreeSet<NodeId>,
+    counts: VoterCounts,
 ) -> Option<ReplicaChange> {
-    let fit: BTreeMap<NodeId, &Candidate> =
+    let eligible: BTreeMap<NodeId, &Candidate> =
         candidates.iter().filter(|c| !c.leaving).map(|c| (c.node, c)).collect();
     let leaving: BTreeSet<NodeId> = candidates.iter().filter(|c| c.leaving).map(|c| c.node).collect();
-    let sound = |voter: &&NodeId| !silent.contains(voter) && !leaving.contains(voter);
-    let sound: Vec<NodeId> = replicas.voters.iter().filter(sound).copied().collect();
-    if let Some(gone) = replicas.learners.iter().find(|learner| !fit.contains_key(learner)) {
-        return Some(ReplicaChange::Remove(*gone));
+    let is_healthy = |voter: &&NodeId| !failed.contains(voter) && !leaving.contains(voter);
+    let healthy: Vec<NodeId> = replicas.voters.iter().filter(is_healthy).copied().collect();
+    if let Some(unfit) = replicas.learners.iter().find(|learner| !eligible.contains_key(learner)) {
+        return Some(ReplicaChange::Remove(*unfit));
     }
-    if sound.len() < wanted.target {
+    if healthy.len() < counts.target {
         if let Some(learner) = replicas.learners.first() {
             return Some(ReplicaChange::Promote(*learner));
         }
-        if let Some(joins) = best_candidate(replicas, &fit, &sound) {
-            return Some(ReplicaChange::AddLearner(joins));
+        if let Some(best) = best_candidate(replicas, &eligible, &healthy) {
+            return Some(ReplicaChange::AddLearner(best));
         }
     }
-    if sound.len() >= wanted.min {
-        let unsound = replicas.voters.iter().find(|voter| !sound.contains(voter));
-        return unsound.copied().map(ReplicaChange::Remove);
+    if healthy.len() >= counts.min {
+        let unhealthy = replicas.voters.iter().find(|voter| !healthy.contains(voter));
+        return unhealthy.copied().map(ReplicaChange::Remove);
     }
     None
 }
 
-/// The candidate whose failure domain holds the fewest sound voters.
+/// The candidate whose failure domain holds the fewest healthy voters.
 fn best_candidate(
     replicas: &Replicas,
-    fit: &BTreeMap<NodeId, &Candidate>,
-    sound: &[NodeId],
+    eligible: &BTreeMap<NodeId, &Candidate>,
+    healthy: &[NodeId],
 ) -> Option<NodeId> {
-    let in_zone =
-        |zone: &str| sound.iter().filter(|voter| fit.get(voter).is_some_and(|c| &*c.zone == zone)).count();
-    let outside = fit.values().filter(|candidate| !replicas.voters.contains(&candidate.node));
-    outside
+    let in_zone = |zone: &str| {
+        healthy.iter().filter(|voter| eligible.get(voter).is_some_and(|c| &*c.zone == zone)).count()
+    };
+    let nonvoters = eligible.values().filter(|candidate| !replicas.voters.contains(&candidate.node));
+    nonvoters
         .min_by_key(|candidate| (in_zone(&candidate.zone), candidate.tie_break))
         .map(|candidate| candidate.node)
 }
