--- a/agatetrestle/src/control/command.rs
+++ b/agatetrestle/src/control/command.rs
@@ -9,111 +9,109 @@
 
 use crate::ids::NodeId;
 
-/// A change to what the whole system agrees on.
+/// A command that changes the replicated state of the control group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ControlCommand {
-    /// Replace one document if its version is as expected.
+    /// Replace a document if its current version is the expected one.
     Apply {
-        /// A partner's name or `shared`.
+        /// Name of a partner, or `shared`.
         scope: Arc<str>,
-        /// The checked document.
+        /// The validated document.
         text: Arc<str>,
-        /// Version the operator saw, 0 for none.
+        /// The version that the operator read, 0 for a new document.
         expected: u64,
-        /// Identity of the change; a resend returns the first result.
+        /// Idempotency key; a retry returns the first result.
         change_id: Arc<str>,
     },
-    /// Mark a VM or backend server as leaving, as of an incarnation.
+    /// Mark a VM or backend server as leaving, up to an incarnation.
     Leave {
         /// Name of the VM or backend server.
         name: Arc<str>,
-        /// Incarnation that leaves; a newer one is live again.
+        /// The leaving incarnation; newer ones are live.
         incarnation: u64,
     },
-    /// Replace the table of routes if this version is higher than the one in force; else nothing changes.
+    /// Replace the routes if this version is higher than the current one.
     Publish {
-        /// The operators' number of the table.
+        /// Version that the operators assigned.
         version: u64,
-        /// The checked table as the operators sent it.
+        /// The validated routes as the operators sent them.
         text: Arc<str>,
     },
-    /// Say how many state groups there are and who holds the first replicas of each. The first such command stands for
-    /// good: another number of groups would look for programs where they are not, and other replicas would not know what
-    /// the first accepted.
+    /// Create the state groups with their initial voters. Only the first such command takes effect, since programs are located
+    /// by the number of groups, and other voters would lack the state already accepted.
     Found {
-        /// The first voters of each group, in the order of the groups' numbers.
+        /// The initial voters of each group, ordered by group ID.
         groups: Vec<BTreeSet<NodeId>>,
     },
-    /// Claim the right to give orders to engines; the reply holds a fencing number.
+    /// Claim the right to send orders to engines; the reply holds a fencing token.
     Fence {
-        /// The control leader that claims it.
+        /// The control leader that makes the claim.
         node: NodeId,
-        /// Its term.
+        /// Term of the leader.
         term: u64,
     },
 }
 
-/// Reply to a control command.
+/// Reply to a [`ControlCommand`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ControlReply {
     /// The document was replaced.
     Accepted {
-        /// Version of the document.
+        /// New version of the document.
         version: u64,
-        /// Revision of the whole.
+        /// New revision of the configuration.
         revision: u64,
     },
-    /// Another change came first.
+    /// The current version is not the expected one.
     Conflict {
-        /// Version in force.
+        /// Current version.
         version: u64,
-        /// Text in force.
+        /// Current text.
         text: Arc<str>,
     },
-    /// The table of routes in force has this version, which is the one published or a higher one.
+    /// The routes have the published version or a higher one.
     Published {
-        /// The version in force.
+        /// Current version of the routes.
         version: u64,
     },
-    /// The first voters of each state group.
+    /// The state groups exist.
     Founded {
-        /// Those of the first such command.
+        /// Their initial voters, from the first such command.
         groups: Vec<BTreeSet<NodeId>>,
     },
-    /// The leaving mark was taken.
+    /// The VM or backend server is marked as leaving.
     Leaving {
-        /// The highest incarnation marked.
+        /// The highest marked incarnation.
         incarnation: u64,
     },
-    /// Orders may carry this number.
+    /// The fencing token for orders.
     Fenced(u64),
-    /// The command could not be read or is of an older term.
+    /// The command is malformed, reuses an idempotency key, or has an outdated term.
     Refused,
 }
 
-/// Scope of the document that holds the table of routes.
+/// Scope of the document that holds the routes.
 pub const ROUTES_SCOPE: &str = "routes";
 
-/// A document in force.
+/// A versioned configuration document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Document {
-    /// Counts the changes of this document.
+    /// Version of the document.
     pub version: u64,
-    /// The declarations in YAML.
+    /// Declarations in YAML.
     pub text: Arc<str>,
-    /// Revision of the whole at which this document was last changed, so that a node fetches only what
-    /// is newer than what it has.
+    /// Revision of the configuration at which the document last changed, so that a node fetches only newer documents.
     #[serde(default)]
     pub revision: u64,
 }
 
-/// Everything in force at a revision.
+/// The complete configuration at a revision.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Configuration {
-    /// Counts every accepted change.
+    /// Number of accepted changes.
     pub revision: u64,
     /// Documents by scope.
     pub documents: BTreeMap<Arc<str>, Document>,
-    /// Leaving VMs and backend servers with the incarnation that leaves.
+    /// Leaving VMs and backend servers, each with its highest leaving incarnation.
     pub leaving: BTreeMap<Arc<str>, u64>,
 }
--- a/agatetrestle/src/control/lease.rs
+++ b/agatetrestle/src/control/lease.rs
@@ -1,4 +1,4 @@
-//! What is in force on a node, and how long the node may rely on it.
+//! A node's copy of the configuration and the lease under which it may use it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 use crate::control::command::Configuration;
 use crate::ports::NotTaking;
 
-/// The configuration in force with the lease on it. The revision never falls.
+/// The configuration of a node with its lease. The revision never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct LeasedConfig {
     configuration: Arc<Configuration>,
-    until: Option<Timestamp>,
+    expires_at: Option<Timestamp>,
 }
 
 impl LeasedConfig {
-    /// The configuration in force.
+    /// The newest adopted configuration.
     #[must_use]
     pub fn configuration(&self) -> Arc<Configuration> {
         self.configuration.clone()
     }
 
-    /// Puts a newer configuration in force; an older or equal one changes nothing.
+    /// Adopts a configuration if it is newer, and returns whether it is.
     pub fn adopt(&mut self, configuration: Configuration) -> bool {
         let newer = configuration.revision > self.configuration.revision;
         if newer {
@@ -30,33 +30,33 @@
         newer
     }
 
-    /// Puts in force what changed since the revision that is in force here; the other documents stay.
+    /// Adopts the changes since the current revision; unchanged documents stay.
     pub fn adopt_changes(&mut self, changes: Configuration) -> bool {
         let Configuration { revision, documents, leaving } = changes;
-        let mut whole = Configuration { revision, leaving, ..Configuration::clone(&self.configuration) };
-        whole.documents.extend(documents);
-        self.adopt(whole)
+        let mut merged = Configuration { revision, leaving, ..Configuration::clone(&self.configuration) };
+        merged.documents.extend(documents);
+        self.adopt(merged)
     }
 
-    /// Renews the lease after a control leader confirmed `revision`. The lease counts from `sent`,
-    /// when the node asked, because the leader may have answered any time after that.
+    /// Renews the lease after a control leader confirmed `revision`. The lease starts at `sent`, when the request was sent,
+    /// because the leader may have confirmed at any time after that; `drift` is the clock drift to allow for.
     pub fn renew(&mut self, sent: Timestamp, lease: Duration, drift: Duration, revision: u64) {
         if revision > self.configuration.revision {
             return;
         }
-        let until = sent + lease.saturating_sub(drift);
-        self.until = Some(self.until.map_or(until, |known| known.max(until)));
+        let expires_at = sent + lease.saturating_sub(drift);
+        self.expires_at = Some(self.expires_at.map_or(expires_at, |known| known.max(expires_at)));
     }
 
-    /// Whether new work may be taken.
+    /// Checks that the node holds a valid lease and may accept new work.
     ///
     /// # Errors
     ///
-    /// Says whether the lease was never had or has run out.
+    /// Fails if no lease was granted yet or if it has expired.
     pub fn check_lease(&self, now: Timestamp) -> Result<(), NotTaking> {
-        match self.until {
+        match self.expires_at {
             None => Err(NotTaking::Starting),
-            Some(until) if now >= until => Err(NotTaking::Isolated),
+            Some(expires_at) if now >= expires_at => Err(NotTaking::Isolated),
             Some(_) => Ok(()),
         }
     }
--- a/agatetrestle/src/control/mod.rs
+++ b/agatetrestle/src/control/mod.rs
@@ -1,6 +1,6 @@
-//! The control group: declarations by version, leaving marks and fencing numbers.
+//! State of the control group: versioned configuration, leaving marks and fencing tokens.
 //!
-//! Versions only rise, in memory and on disk, and a resend returns the first result; see
+//! Versions never decrease, and a retried change returns its first result; see
 //! docs/design/003-configuration-versions-and-lease.md.
 
 pub mod command;
--- a/agatetrestle/src/control/state.rs
+++ b/agatetrestle/src/control/state.rs
@@ -1,4 +1,4 @@
-//! State of the control group: documents by version, leaving marks and the fencing number.
+//! The replicated state machine of the control group.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,48 +23,47 @@
 use crate::control::command::ROUTES_SCOPE;
 use crate::ids::NodeId;
 
-/// How many first results are kept for each scope. At 1,100 changes a day this covers days of
-/// resends, and one partner's changes never push out another's.
-const RESULTS_PER_SCOPE: usize = 2_048;
+/// Results retained per scope for retries, so that changes of one partner never evict results of another.
+const MAX_RESULTS_PER_SCOPE: usize = 2_048;
 
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-struct FirstResult {
+struct StoredResult {
     change_id: Arc<str>,
     digest: u64,
     reply: ControlReply,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-struct Fence {
+struct FencingToken {
     number: u64,
     term: u64,
     node: NodeId,
 }
 
-/// What the control replicas agree on.
+/// The state on which the control replicas agree.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ControlState {
     configuration: Arc<Configuration>,
-    results: BTreeMap<Arc<str>, VecDeque<FirstResult>>,
-    fence: Fence,
+    results: BTreeMap<Arc<str>, VecDeque<StoredResult>>,
+    fence: FencingToken,
     #[serde(default)]
     founding: Vec<BTreeSet<NodeId>>,
 }
 
 impl ControlState {
-    /// The first voters of each state group; no group before they were agreed on.
+    /// The initial voters of each state group; empty until the groups are created.
     #[must_use]
     pub fn initial_voters(&self) -> &[BTreeSet<NodeId>] {
         &self.founding
     }
 
-    /// The table of routes in force, as published.
+    /// The current routes, if any are published.
     #[must_use]
     pub fn routes(&self) -> Option<&Document> {
         self.configuration.documents.get(ROUTES_SCOPE)
     }
 
-    /// Everything in force as of the last applied command.
+    /// The configuration as of the last applied command.
     #[must_use]
     pub fn configuration(&self) -> Arc<Configuration> {
         self.configuration.clone()
@@ -77,9 +76,9 @@
                 self.replace_document(scope, text, expected, change_id)
             }
             ControlCommand::Leave { name, incarnation } => self.mark_leaving(name, incarnation),
-            ControlCommand::Publish { version, text } => self.publish(version, text),
-            ControlCommand::Found { groups } => self.found(groups),
-            ControlCommand::Fence { node, term } => self.issue_fence(node, term),
+            ControlCommand::Publish { version, text } => self.publish_routes(version, text),
+            ControlCommand::Found { groups } => self.create_groups(groups),
+            ControlCommand::Fence { node, term } => self.issue_token(node, term),
         }
     }
 
@@ -106,14 +105,14 @@
         let revision = configuration.revision;
         configuration.documents.insert(scope, Document { version: version + 1, text, revision });
         let reply = ControlReply::Accepted { version: version + 1, revision: configuration.revision };
-        if results.len() == RESULTS_PER_SCOPE {
+        if results.len() == MAX_RESULTS_PER_SCOPE {
             results.pop_front();
         }
-        results.push_back(FirstResult { change_id, digest, reply: reply.clone() });
+        results.push_back(StoredResult { change_id, digest, reply: reply.clone() });
         reply
     }
 
-    fn publish(&mut self, version: u64, text: Arc<str>) -> ControlReply {
+    fn publish_routes(&mut self, version: u64, text: Arc<str>) -> ControlReply {
         let known = self.routes().map(|document| document.version);
         if let Some(known) = known
             && version <= known
@@ -127,7 +126,7 @@
         ControlReply::Published { version }
     }
 
-    fn found(&mut self, groups: Vec<BTreeSet<NodeId>>) -> ControlReply {
+    fn create_groups(&mut self, groups: Vec<BTreeSet<NodeId>>) -> ControlReply {
         if self.founding.is_empty() {
             self.founding = groups;
         }
@@ -145,12 +144,12 @@
         ControlReply::Leaving { incarnation: highest }
     }
 
-    fn issue_fence(&mut self, node: NodeId, term: u64) -> ControlReply {
+    fn issue_token(&mut self, node: NodeId, term: u64) -> ControlReply {
         if term < self.fence.term || (term == self.fence.term && node != self.fence.node) {
             return ControlReply::Refused;
         }
         if term > self.fence.term {
-            self.fence = Fence { number: self.fence.number + 1, term, node };
+            self.fence = FencingToken { number: self.fence.number + 1, term, node };
         }
         ControlReply::Fenced(self.fence.number)
     }
