--- a/agatetrestle/src/members/leave_notices.rs
+++ b/agatetrestle/src/members/leave_notices.rs
@@ -1,4 +1,4 @@
-//! The set of leaving signs: it only grows, and a newer incarnation outlives an older sign.
+//! The set of leave notices, which is only ever extended.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,47 +6,46 @@
 use crate::members::message::LeaveNotice;
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Mark {
+struct StoredNotice {
     incarnation: u64,
-    changed: u64,
+    sequence: u64,
 }
 
-/// Notices by name, each with the highest incarnation that was seen to leave.
+/// Leave notices by name, each with the highest leaving incarnation.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct LeaveNotices {
-    marked: BTreeMap<Arc<str>, Mark>,
+    by_name: BTreeMap<Arc<str>, StoredNotice>,
 }
 
 impl LeaveNotices {
-    /// Adds a sign, noting `sequence` as the time of the change; an older one than known changes nothing.
-    /// Returns whether it was news.
-    pub fn add(&mut self, sign: &LeaveNotice, sequence: u64) -> bool {
-        let known = self.marked.get(&sign.name);
-        if known.is_some_and(|known| known.incarnation >= sign.incarnation) {
+    /// Adds a notice under a sequence number, unless the incarnation is known already. Returns whether it was added.
+    pub fn add(&mut self, notice: &LeaveNotice, sequence: u64) -> bool {
+        let known = self.by_name.get(&notice.name);
+        if known.is_some_and(|known| known.incarnation >= notice.incarnation) {
             return false;
         }
-        self.marked.insert(sign.name.clone(), Mark { incarnation: sign.incarnation, changed: sequence });
+        self.by_name.insert(notice.name.clone(), StoredNotice { incarnation: notice.incarnation, sequence });
         true
     }
 
-    /// Whether this incarnation of the name leaves.
+    /// Whether this incarnation of a VM or backend server is leaving.
     #[must_use]
-    pub fn covers(&self, name: &str, incarnation: u64) -> bool {
-        self.marked.get(name).is_some_and(|marked| marked.incarnation >= incarnation)
+    pub fn contains(&self, name: &str, incarnation: u64) -> bool {
+        self.by_name.get(name).is_some_and(|stored| stored.incarnation >= incarnation)
     }
 
-    /// The highest incarnation of the name that leaves, if any does.
+    /// The highest leaving incarnation of a name, if any.
     #[must_use]
     pub fn incarnation(&self, name: &str) -> Option<u64> {
-        self.marked.get(name).map(|marked| marked.incarnation)
+        self.by_name.get(name).map(|stored| stored.incarnation)
     }
 
-    /// Notices that changed after `sequence`, in order of name.
+    /// Notices added after a sequence number, ordered by name.
     #[must_use]
     pub fn changed_after(&self, sequence: u64) -> Vec<LeaveNotice> {
-        let changed = self.marked.iter().filter(|(_, mark)| mark.changed > sequence);
+        let changed = self.by_name.iter().filter(|(_, stored)| stored.sequence > sequence);
         changed
-            .map(|(name, mark)| LeaveNotice { name: name.clone(), incarnation: mark.incarnation })
+            .map(|(name, stored)| LeaveNotice { name: name.clone(), incarnation: stored.incarnation })
             .collect()
     }
 }
--- a/agatetrestle/src/members/message.rs
+++ b/agatetrestle/src/members/message.rs
@@ -1,23 +1,23 @@
-//! What nodes and control replicas tell each other about members.
+//! Messages about members between nodes and control replicas.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::ids::NodeId;
 
-/// A sign that a VM or backend server is leaving.
+/// Notice that a VM or backend server is leaving.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaveNotice {
     /// Name of the VM or backend server.
     pub name: Arc<str>,
-    /// Incarnation that leaves; a newer one is live again.
+    /// The leaving incarnation; newer ones are live.
     pub incarnation: u64,
 }
 
 /// A node's heartbeat.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Heartbeat {
-    /// The node.
+    /// ID of the node.
     pub node: NodeId,
     /// Its VM.
     pub vm: Arc<str>,
@@ -25,67 +25,66 @@
     pub failure_domain: Arc<str>,
     /// Its region.
     pub region: Arc<str>,
-    /// Higher after each restart.
+    /// Incarnation of the node, higher after each restart.
     pub incarnation: u64,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: Arc<str>,
-    /// Where other nodes reach it.
+    /// Address for other nodes.
     pub peer_address: Arc<str>,
-    /// Newest control revision in force on it.
+    /// Control revision that the node has adopted.
     pub revision: u64,
-    /// Whether a planned stop is under way.
+    /// Whether the node is shutting down.
     pub stopping: bool,
-    /// Notices that the node saw itself.
+    /// Notices that the node observed itself.
     pub leaving: Vec<LeaveNotice>,
-    /// The newest change that the receiver told the sender.
+    /// Position of the last digest that the node received from this replica.
     pub position: DigestPosition,
 }
 
-/// How far a control replica has told a node of changes among the members.
+/// Position in the change sequence of a control replica's member table.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct DigestPosition {
-    /// Epoch of the replica's table; another one after each restart.
+    /// Epoch of the table, which differs after each restart.
     pub epoch: u64,
-    /// Counts the changes of that table.
+    /// Number of the last included change.
     pub sequence: u64,
 }
 
-/// How a control replica judges a node.
+/// State of a node as determined by a control replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberState {
-    /// Heard from lately.
+    /// Sends heartbeats and is not leaving.
     Live,
-    /// A planned stop is under way.
+    /// Is shutting down.
     Stopping,
-    /// Not heard from for several heartbeats.
+    /// Has missed several heartbeats.
     Silent,
-    /// Its VM is leaving.
+    /// Its VM is leaving the deployment.
     Leaving,
 }
 
 /// A node in a digest.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NodeRecord {
-    /// The node's last heartbeat, without its signs.
+    /// The node's last heartbeat, without its notices.
     pub heartbeat: Heartbeat,
-    /// What the control replica makes of it.
+    /// State as determined by the control replica.
     pub state: MemberState,
 }
 
 /// A control replica's answer to a heartbeat.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Digest {
-    /// Newest control revision on the replica.
+    /// Current control revision of the replica.
     pub revision: u64,
-    /// How long the node may rely on the revision, from when it sent the heartbeat; zero where the
-    /// replica can't confirm it.
+    /// Lease on the revision, counted from when the heartbeat was sent; zero if the replica can't confirm the revision.
     pub lease: Duration,
-    /// Members that changed since the node was last told, or all; none from a replica that can't confirm.
+    /// Members that changed since the node's position, or all of them; empty if the replica can't confirm its revision.
     pub members: Vec<NodeRecord>,
-    /// Leaving signs likewise.
+    /// Leave notices added since the node's position, or all of them.
     pub leaving: Vec<LeaveNotice>,
-    /// Whether these are all members and signs.
+    /// Whether the digest contains all members and notices.
     pub full: bool,
-    /// How far this digest tells.
+    /// Position of this digest.
     pub position: DigestPosition,
 }
--- a/agatetrestle/src/members/mod.rs
+++ b/agatetrestle/src/members/mod.rs
@@ -1,7 +1,7 @@
-//! Heartbeats, the platform's VM list and leaving; see docs/design/004-members-and-leaving.md.
+//! Membership by heartbeats, the platform's VM list and leave notices; see docs/design/004-members-and-leaving.md.
 //!
-//! Every node sends a heartbeat to the control replicas and gets back a digest of all nodes. Any
-//! sign that a VM or backend server is leaving only ever adds, until a newer incarnation shows.
+//! Every node sends heartbeats to the control replicas and receives digests of all nodes. A leave notice of a VM or
+//! backend server is never withdrawn; only a newer incarnation of the name is live again.
 
 pub mod leave_notices;
 pub mod message;
--- a/agatetrestle/src/members/roster.rs
+++ b/agatetrestle/src/members/roster.rs
@@ -1,4 +1,4 @@
-//! A node's picture of the others, from the digests it gets, and the choice of caller addresses.
+//! A node's copy of the member table, built from digests, and the selection of caller addresses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,24 +16,24 @@
 use crate::members::message::NodeRecord;
 use crate::ports::MemberView;
 
-/// Addresses in one answer: the first to use and two to fall back on, in other failure domains.
-const ADDRESSES: usize = 3;
+/// Addresses per answer: one to use and two alternatives, in other failure domains if possible.
+const MAX_ADDRESSES: usize = 3;
 
-/// Newest word on every node.
+/// The known nodes, leave notices and position in the digests of the last replica.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     members: BTreeMap<NodeId, NodeRecord>,
-    signs: LeaveNotices,
-    /// Notices that this node saw itself, told in every heartbeat until a leader tells them back.
-    own: Vec<LeaveNotice>,
-    /// The replica whose digest was last taken in, and how far it told.
+    notices: LeaveNotices,
+    /// Notices that this node observed itself, sent in every heartbeat until a digest contains them.
+    pending: Vec<LeaveNotice>,
+    /// The replica whose digest was applied last, with the position of that digest.
     position: Option<(NodeId, DigestPosition)>,
-    answers: u64,
+    new_program_count: u64,
 }
 
 impl Roster {
-    /// Takes in a digest from a control replica. Only one with a lease tells of members, since a replica
-    /// that is cut off hears from few nodes. Returns the signs that were news.
+    /// Applies a digest of a control replica and returns the notices that are new. A digest without a lease is ignored, since a
+    /// partitioned replica receives heartbeats of few nodes.
     pub fn apply_digest(&mut self, from: NodeId, digest: &Digest) -> Vec<LeaveNotice> {
         if digest.lease.is_zero() {
             return Vec::new();
@@ -45,59 +45,61 @@
             self.members.insert(member.heartbeat.node, member.clone());
         }
         self.position = Some((from, digest.position));
-        let told_back = |own: &LeaveNotice| {
-            digest.leaving.iter().any(|sign| sign.name == own.name && sign.incarnation >= own.incarnation)
+        let acknowledged = |own: &LeaveNotice| {
+            digest.leaving.iter().any(|other| other.name == own.name && other.incarnation >= own.incarnation)
         };
-        self.own.retain(|own| !told_back(own));
-        let news = digest.leaving.iter().filter(|sign| self.signs.add(sign, 0));
-        news.cloned().collect()
+        self.pending.retain(|own| !acknowledged(own));
+        let added = digest.leaving.iter().filter(|notice| self.notices.add(notice, 0));
+        added.cloned().collect()
     }
 
-    /// How far a replica has told this node. Another replica than the last one tells everything again,
-    /// because its changes are counted otherwise.
+    /// The position of the last digest from a replica. It is zero unless that replica sent the last one, because replicas number
+    /// changes independently, and requests a full digest.
     #[must_use]
     pub fn position(&self, replica: NodeId) -> DigestPosition {
         self.position.filter(|(from, _)| *from == replica).map(|(_, position)| position).unwrap_or_default()
     }
 
-    /// Adds a sign that this node saw itself; returns whether it was news.
-    pub fn add_notice(&mut self, sign: &LeaveNotice) -> bool {
-        let news = self.signs.add(sign, 0);
-        if news {
-            self.own.push(sign.clone());
+    /// Adds a notice that this node observed itself and returns whether it is new.
+    pub fn add_notice(&mut self, notice: &LeaveNotice) -> bool {
+        let added = self.notices.add(notice, 0);
+        if added {
+            self.pending.push(notice.clone());
         }
-        news
+        added
     }
 
-    /// Notices that this node saw itself and no leader has told back.
+    /// Notices that this node observed itself and no digest contains yet.
     #[must_use]
     pub fn pending_notices(&self) -> Vec<LeaveNotice> {
-        self.own.clone()
+        self.pending.clone()
     }
 
-    /// The highest incarnation of a name that leaves, if any does.
+    /// The highest leaving incarnation of a VM or backend server, if any.
     #[must_use]
     pub fn leaving(&self, name: &str) -> Option<u64> {
-        self.signs.incarnation(name)
+        self.notices.incarnation(name)
     }
 
-    /// The incarnation of the node on a VM, if one is known.
+    /// The incarnation of the node on a VM, if known.
     #[must_use]
     pub fn incarnation_on(&self, vm: &str) -> Option<u64> {
         let member = self.members.values().find(|member| &*member.heartbeat.vm == vm)?;
         Some(member.heartbeat.incarnation)
     }
 
-    /// All nodes for listings.
+    /// Descriptions of all nodes, for listings.
     #[must_use]
     pub fn views(&self) -> Vec<MemberView> {
         self.members.values().map(|member| self.view(member)).collect()
     }
 
     fn state(&self, member: &NodeRecord) -> MemberState {
-        let beat = &member.heartbeat;
+        let heartbeat = &member.heartbeat;
         match member.state {
-            MemberState::Live if self.signs.covers(&beat.vm, beat.incarnation) => MemberState::Leaving,
+            MemberState::Live if self.notices.contains(&heartbeat.vm, heartbeat.incarnation) => {
+                MemberState::Leaving
+            }
             state => state,
         }
     }
@@ -110,50 +112,51 @@
             MemberState::Silent => "silent",
             MemberState::Leaving => "leaving",
         };
-        let beat = &member.heartbeat;
+        let heartbeat = &member.heartbeat;
         MemberView {
-            node: beat.node,
-            vm: beat.vm.clone(),
-            failure_domain: beat.failure_domain.clone(),
-            region: beat.region.clone(),
-            incarnation: beat.incarnation,
-            caller_address: beat.caller_address.clone(),
+            node: heartbeat.node,
+            vm: heartbeat.vm.clone(),
+            failure_domain: heartbeat.failure_domain.clone(),
+            region: heartbeat.region.clone(),
+            incarnation: heartbeat.incarnation,
+            caller_address: heartbeat.caller_address.clone(),
             live: state == MemberState::Live,
             state: name.into(),
-            revision: beat.revision,
+            revision: heartbeat.revision,
         }
     }
 
-    /// A key that differs each time, so that new programs spread over all nodes.
+    /// A unique key, so that new programs are distributed over all nodes.
     fn next_new_key(&mut self) -> String {
-        self.answers += 1;
-        format!("new {}", self.answers)
+        self.new_program_count += 1;
+        format!("new {}", self.new_program_count)
     }
 
-    /// Addresses for a program, the same on every node, or for a new one, each time others.
+    /// Addresses for a program, chosen alike on every node, or for a new program, distributed over the nodes.
     pub fn addresses(&mut self, program: Option<&ProgramId>) -> Vec<Arc<str>> {
         let key = program.map_or_else(|| self.next_new_key(), ToString::to_string);
         let live = self.members.values().filter(|member| self.state(member) == MemberState::Live);
         let mut ranked: Vec<&Heartbeat> = live.map(|member| &member.heartbeat).collect();
-        // Rendezvous hashing moves only the programs of a node that left.
-        ranked.sort_by_key(|beat| std::cmp::Reverse(xxh3_64_with_seed(key.as_bytes(), beat.node.0)));
-        spread(&ranked).into_iter().map(|beat| beat.caller_address.clone()).collect()
+        // Rendezvous hashing reassigns only the programs of a removed node.
+        ranked
+            .sort_by_key(|heartbeat| std::cmp::Reverse(xxh3_64_with_seed(key.as_bytes(), heartbeat.node.0)));
+        select(&ranked).into_iter().map(|heartbeat| heartbeat.caller_address.clone()).collect()
     }
 }
 
-/// Takes the first nodes in order, one of each failure domain before a second of any.
-fn spread<'a>(ranked: &[&'a Heartbeat]) -> Vec<&'a Heartbeat> {
+/// Selects the first nodes in rank order, one per failure domain before a second one of any.
+fn select<'a>(ranked: &[&'a Heartbeat]) -> Vec<&'a Heartbeat> {
     let mut chosen: Vec<&Heartbeat> = Vec::new();
-    for beat in ranked {
-        let domain_taken = chosen.iter().any(|other| other.failure_domain == beat.failure_domain);
-        if !domain_taken && chosen.len() < ADDRESSES {
-            chosen.push(beat);
+    for heartbeat in ranked {
+        let domain_used = chosen.iter().any(|other| other.failure_domain == heartbeat.failure_domain);
+        if !domain_used && chosen.len() < MAX_ADDRESSES {
+            chosen.push(heartbeat);
         }
     }
-    for beat in ranked {
-        let taken = chosen.iter().any(|other| other.node == beat.node);
-        if !taken && chosen.len() < ADDRESSES {
-            chosen.push(beat);
+    for heartbeat in ranked {
+        let selected = chosen.iter().any(|other| other.node == heartbeat.node);
+        if !selected && chosen.len() < MAX_ADDRESSES {
+            chosen.push(heartbeat);
         }
     }
     chosen
--- a/agatetrestle/src/members/table.rs
+++ b/agatetrestle/src/members/table.rs
@@ -1,7 +1,7 @@
-//! The table that a control replica keeps of all nodes.
+//! The table of all nodes that a control replica maintains from heartbeats.
 //!
-//! Every visible change has a number, and a node is told only what changed since it was last told. A full
-//! digest for each heartbeat would cost bytes by the square of the nodes; see docs/CAPACITY.md.
+//! Visible changes are numbered, and a digest contains only the changes since the node's last one. Full digests would
+//! cost traffic quadratic in the number of nodes; see docs/CAPACITY.md.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,113 +16,113 @@
 use crate::members::message::MemberState;
 use crate::members::message::NodeRecord;
 
-/// Heartbeats that may be missed before a node counts as silent.
-const MISSED_BEATS: u32 = 3;
-/// Heartbeats after which a silent node is forgotten; it is listed until then for operators.
-const FORGOTTEN_BEATS: u32 = 3_600;
+/// Heartbeats that a node may miss before it counts as silent.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
+/// Missed heartbeats after which a silent node is removed; until then it is listed for operators.
+const MAX_SILENT_HEARTBEATS: u32 = 3_600;
 
 #[derive(Clone, Debug)]
 struct Row {
     member: NodeRecord,
-    heard: Timestamp,
+    heard_at: Timestamp,
     /// Number of the last visible change.
-    changed: u64,
+    sequence: u64,
 }
 
-/// Last heartbeat of every node, with all leaving signs.
+/// The last heartbeat of every node and all leave notices.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     epoch: u64,
     interval: Duration,
     rows: BTreeMap<NodeId, Row>,
-    signs: LeaveNotices,
+    notices: LeaveNotices,
     sequence: u64,
-    /// Number of the last change that a list of changed rows can't tell, such as a forgotten node.
-    only_full: u64,
+    /// Number of the last removal of a node, which only a full digest can convey.
+    last_removal: u64,
 }
 
 impl MemberTable {
-    /// An empty table for heartbeats of this interval; `epoch` differs after each restart.
+    /// Creates an empty table for an interval of heartbeats; `epoch` must differ after each restart.
     #[must_use]
     pub fn new(epoch: u64, interval: Duration) -> Self {
         Self {
             epoch,
             interval,
             rows: BTreeMap::new(),
-            signs: LeaveNotices::default(),
+            notices: LeaveNotices::default(),
             sequence: 1,
-            only_full: 0,
+            last_removal: 0,
         }
     }
 
-    /// Takes in a heartbeat; one of an older incarnation is a late message and changes nothing. Returns
-    /// whether it was of the newest incarnation.
-    pub fn record(&mut self, now: Timestamp, mut beat: Heartbeat) -> bool {
-        for sign in std::mem::take(&mut beat.leaving) {
-            self.add_notice(&sign);
+    /// Records a heartbeat and returns whether it is of the newest incarnation. A delayed one of an older incarnation is
+    /// ignored.
+    pub fn record(&mut self, now: Timestamp, mut heartbeat: Heartbeat) -> bool {
+        for notice in std::mem::take(&mut heartbeat.leaving) {
+            self.add_notice(&notice);
         }
-        beat.position = DigestPosition::default();
-        let node = beat.node;
+        heartbeat.position = DigestPosition::default();
+        let node = heartbeat.node;
         match self.rows.get_mut(&node) {
-            Some(row) if row.member.heartbeat.incarnation > beat.incarnation => return false,
-            Some(row) if row.member.heartbeat == beat => row.heard = now,
+            Some(row) if row.member.heartbeat.incarnation > heartbeat.incarnation => return false,
+            Some(row) if row.member.heartbeat == heartbeat => row.heard_at = now,
             _ => {
                 self.sequence += 1;
-                let member = NodeRecord { heartbeat: beat, state: MemberState::Live };
-                self.rows.insert(node, Row { member, heard: now, changed: self.sequence });
+                let member = NodeRecord { heartbeat, state: MemberState::Live };
+                self.rows.insert(node, Row { member, heard_at: now, sequence: self.sequence });
             }
         }
         true
     }
 
-    /// Adds a sign; an older one than known changes nothing.
-    pub fn add_notice(&mut self, sign: &LeaveNotice) {
-        if self.signs.add(sign, self.sequence + 1) {
+    /// Adds a leave notice, unless the incarnation is known already.
+    pub fn add_notice(&mut self, notice: &LeaveNotice) {
+        if self.notices.add(notice, self.sequence + 1) {
             self.sequence += 1;
         }
     }
 
-    /// What a node must be told as of now that was told so far.
+    /// The digest for a node that has received the changes up to a position.
     pub fn digest(&mut self, now: Timestamp, position: DigestPosition) -> Digest {
-        self.judge_all(now);
-        let full = position.epoch != self.epoch || position.sequence < self.only_full;
+        self.update_states(now);
+        let full = position.epoch != self.epoch || position.sequence < self.last_removal;
         let after = if full { 0 } else { position.sequence };
-        let changed = self.rows.values().filter(|row| row.changed > after);
+        let changed = self.rows.values().filter(|row| row.sequence > after);
         Digest {
             members: changed.map(|row| row.member.clone()).collect(),
-            leaving: self.signs.changed_after(after),
+            leaving: self.notices.changed_after(after),
             full,
             position: DigestPosition { epoch: self.epoch, sequence: self.sequence },
             ..Digest::default()
         }
     }
 
-    fn judge_all(&mut self, now: Timestamp) {
-        let forgotten = self.interval * FORGOTTEN_BEATS;
-        let before = self.rows.len();
-        self.rows.retain(|_, row| now.since(row.heard) <= forgotten);
-        if self.rows.len() < before {
+    fn update_states(&mut self, now: Timestamp) {
+        let retention = self.interval * MAX_SILENT_HEARTBEATS;
+        let count = self.rows.len();
+        self.rows.retain(|_, row| now.since(row.heard_at) <= retention);
+        if self.rows.len() < count {
             self.sequence += 1;
-            self.only_full = self.sequence;
+            self.last_removal = self.sequence;
         }
         for row in self.rows.values_mut() {
-            let state = judge(now, self.interval, &self.signs, row);
+            let state = member_state(now, self.interval, &self.notices, row);
             if state != row.member.state {
                 row.member.state = state;
                 self.sequence += 1;
-                row.changed = self.sequence;
+                row.sequence = self.sequence;
             }
         }
     }
 }
 
-fn judge(now: Timestamp, interval: Duration, signs: &LeaveNotices, row: &Row) -> MemberState {
-    let beat = &row.member.heartbeat;
-    if now.since(row.heard) > interval * MISSED_BEATS {
+fn member_state(now: Timestamp, interval: Duration, notices: &LeaveNotices, row: &Row) -> MemberState {
+    let heartbeat = &row.member.heartbeat;
+    if now.since(row.heard_at) > interval * MAX_MISSED_HEARTBEATS {
         MemberState::Silent
-    } else if beat.stopping {
+    } else if heartbeat.stopping {
         MemberState::Stopping
-    } else if signs.covers(&beat.vm, beat.incarnation) {
+    } else if notices.contains(&heartbeat.vm, heartbeat.incarnation) {
         MemberState::Leaving
     } else {
         MemberState::Live
--- a/agatetrestle/src/members/tests.rs
+++ b/agatetrestle/src/members/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of heartbeats, leaving and caller addresses.
+//! Tests of heartbeats, leave notices and caller addresses.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 use crate::members::vm_list::VmChange;
 use crate::members::vm_list::VmListReader;
 
-const INTERVAL: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const LEADER: NodeId = NodeId(1);
 
-fn beat(node: u64, incarnation: u64) -> Heartbeat {
+fn heartbeat(node: u64, incarnation: u64) -> Heartbeat {
     Heartbeat {
         node: NodeId(node),
         vm: format!("vm-{node}").into(),
@@ -35,9 +35,9 @@
 }
 
 fn table() -> MemberTable {
-    let mut table = MemberTable::new(1, INTERVAL);
+    let mut table = MemberTable::new(1, HEARTBEAT_INTERVAL);
     for node in 1..=9 {
-        table.record(seconds(0), beat(node, 5));
+        table.record(seconds(0), heartbeat(node, 5));
     }
     table
 }
@@ -48,42 +48,42 @@
 }
 
 fn digest(table: &mut MemberTable, now: u64, position: DigestPosition) -> Digest {
-    Digest { lease: INTERVAL, ..table.digest(seconds(now), position) }
+    Digest { lease: HEARTBEAT_INTERVAL, ..table.digest(seconds(now), position) }
 }
 
-fn sign(name: &str, incarnation: u64) -> LeaveNotice {
+fn notice(name: &str, incarnation: u64) -> LeaveNotice {
     LeaveNotice { name: name.into(), incarnation }
 }
 
 #[test]
-fn a_node_is_silent_after_three_missed_heartbeats() {
+fn node_is_silent_after_three_missed_heartbeats() {
     let mut table = table();
-    table.record(seconds(4), beat(2, 5));
+    table.record(seconds(4), heartbeat(2, 5));
     assert_eq!(state(&mut table, 4, 1), MemberState::Silent);
     assert_eq!(state(&mut table, 4, 2), MemberState::Live);
 }
 
 #[test]
-fn a_late_heartbeat_of_an_older_incarnation_changes_nothing() {
+fn ignores_heartbeat_of_older_incarnation() {
     let mut table = table();
-    table.record(seconds(1), beat(1, 6));
-    table.record(seconds(2), Heartbeat { stopping: true, ..beat(1, 5) });
+    table.record(seconds(1), heartbeat(1, 6));
+    table.record(seconds(2), Heartbeat { stopping: true, ..heartbeat(1, 5) });
     assert_eq!(state(&mut table, 2, 1), MemberState::Live);
 }
 
 #[test]
-fn a_lagging_list_does_not_bring_back_what_another_sign_removed() {
+fn ignores_notice_of_older_incarnation() {
     let mut table = table();
-    table.add_notice(&sign("vm-4", 5));
-    table.add_notice(&sign("vm-4", 3));
-    table.record(seconds(1), beat(4, 5));
+    table.add_notice(&notice("vm-4", 5));
+    table.add_notice(&notice("vm-4", 3));
+    table.record(seconds(1), heartbeat(4, 5));
     assert_eq!(state(&mut table, 1, 4), MemberState::Leaving);
-    table.record(seconds(2), beat(4, 6));
-    assert_eq!(state(&mut table, 2, 4), MemberState::Live, "a newer incarnation is live again");
+    table.record(seconds(2), heartbeat(4, 6));
+    assert_eq!(state(&mut table, 2, 4), MemberState::Live, "a newer incarnation is live");
 }
 
 #[test]
-fn addresses_spread_over_failure_domains_and_are_the_same_everywhere() {
+fn selects_same_addresses_in_distinct_failure_domains() {
     let mut table = table();
     let digest = digest(&mut table, 1, DigestPosition::default());
     let program = ProgramId::parse("vrsta/dawn-17").unwrap();
@@ -104,12 +104,12 @@
 }
 
 #[test]
-fn a_leaving_vm_is_in_no_answer_as_soon_as_any_sign_is_seen() {
+fn excludes_leaving_vm_from_addresses() {
     let mut table = table();
     let digest = digest(&mut table, 1, DigestPosition::default());
     let mut roster = Roster::default();
     roster.apply_digest(LEADER, &digest);
-    assert!(roster.add_notice(&sign("vm-7", 5)));
+    assert!(roster.add_notice(&notice("vm-7", 5)));
     roster.apply_digest(LEADER, &digest);
     for _ in 0..100 {
         assert!(!roster.addresses(None).iter().any(|address| &**address == "10.0.0.7:7400"));
@@ -117,57 +117,57 @@
 }
 
 #[test]
-fn a_replica_that_was_cut_off_does_not_change_the_picture() {
-    let mut full = table();
+fn ignores_digest_without_lease() {
+    let mut complete = table();
     let mut roster = Roster::default();
-    roster.apply_digest(LEADER, &digest(&mut full, 1, DigestPosition::default()));
-    let mut cut_off = MemberTable::new(2, INTERVAL);
-    cut_off.record(seconds(1), beat(1, 5));
+    roster.apply_digest(LEADER, &digest(&mut complete, 1, DigestPosition::default()));
+    let mut partitioned = MemberTable::new(2, HEARTBEAT_INTERVAL);
+    partitioned.record(seconds(1), heartbeat(1, 5));
     roster.apply_digest(
         NodeId(2),
-        &Digest { lease: Duration::ZERO, ..cut_off.digest(seconds(1), DigestPosition::default()) },
+        &Digest { lease: Duration::ZERO, ..partitioned.digest(seconds(1), DigestPosition::default()) },
     );
     assert_eq!(roster.views().len(), 9);
 }
 
 #[test]
-fn a_node_is_told_only_what_changed() {
+fn digest_contains_only_changes() {
     let mut table = table();
     let mut roster = Roster::default();
     roster.apply_digest(LEADER, &digest(&mut table, 1, roster.position(LEADER)));
     assert_eq!(roster.views().len(), 9);
-    let quiet = digest(&mut table, 1, roster.position(LEADER));
-    assert!(quiet.members.is_empty() && !quiet.full);
-    table.record(seconds(2), Heartbeat { revision: 7, ..beat(3, 5) });
+    let unchanged = digest(&mut table, 1, roster.position(LEADER));
+    assert!(unchanged.members.is_empty() && !unchanged.full);
+    table.record(seconds(2), Heartbeat { revision: 7, ..heartbeat(3, 5) });
     let changed = digest(&mut table, 2, roster.position(LEADER));
     assert_eq!(changed.members.len(), 1);
     roster.apply_digest(LEADER, &changed);
     assert_eq!(roster.views().iter().find(|view| view.node == NodeId(3)).unwrap().revision, 7);
     let silent = digest(&mut table, 4, roster.position(LEADER));
-    assert_eq!(silent.members.len(), 8, "all but node 3 fell silent");
+    assert_eq!(silent.members.len(), 8, "all nodes but node 3 became silent");
 }
 
 #[test]
-fn another_replica_tells_everything_again() {
+fn other_replica_sends_full_digest() {
     let mut first = table();
     let mut roster = Roster::default();
     roster.apply_digest(LEADER, &digest(&mut first, 1, DigestPosition::default()));
     assert_eq!(roster.position(NodeId(2)), DigestPosition::default());
-    let mut second = MemberTable::new(2, INTERVAL);
-    second.record(seconds(1), beat(1, 5));
-    let everything = digest(&mut second, 1, roster.position(NodeId(2)));
-    assert!(everything.full);
-    roster.apply_digest(NodeId(2), &everything);
+    let mut second = MemberTable::new(2, HEARTBEAT_INTERVAL);
+    second.record(seconds(1), heartbeat(1, 5));
+    let complete = digest(&mut second, 1, roster.position(NodeId(2)));
+    assert!(complete.full);
+    roster.apply_digest(NodeId(2), &complete);
     assert_eq!(roster.views().len(), 1);
 }
 
 #[test]
-fn a_sign_that_a_node_saw_is_told_until_a_leader_tells_it_back() {
+fn notice_is_pending_until_digest_contains_it() {
     let mut table = table();
     let mut roster = Roster::default();
-    roster.add_notice(&sign("vm-7", 5));
-    assert_eq!(roster.pending_notices(), vec![sign("vm-7", 5)]);
-    table.record(seconds(1), Heartbeat { leaving: roster.pending_notices(), ..beat(1, 5) });
+    roster.add_notice(&notice("vm-7", 5));
+    assert_eq!(roster.pending_notices(), vec![notice("vm-7", 5)]);
+    table.record(seconds(1), Heartbeat { leaving: roster.pending_notices(), ..heartbeat(1, 5) });
     roster.apply_digest(LEADER, &digest(&mut table, 1, roster.position(LEADER)));
     assert!(roster.pending_notices().is_empty());
     assert_eq!(state(&mut table, 1, 7), MemberState::Leaving);
@@ -178,12 +178,12 @@
 }
 
 #[test]
-fn the_vm_list_tells_only_the_moment_of_leaving() {
+fn vm_list_reports_leaving_once() {
     let mut reader = VmListReader::default();
     let mut read = |text: String| reader.update(vm_list::parse(text.as_bytes()).unwrap());
     assert!(matches!(read(vm("live", 1))[..], [VmChange::Live(_)]));
     assert!(matches!(read(vm("leaving", 1))[..], [VmChange::Leaving(_)]));
-    assert!(read(vm("leaving", 1)).is_empty(), "a lagging list says it again and again");
+    assert!(read(vm("leaving", 1)).is_empty(), "a lagging list repeats the state");
     assert!(matches!(&read(vm("live", 2))[..], [VmChange::Live(vm)] if vm.incarnation == 2));
     assert!(vm_list::parse(b"{\"vms\":[{\"name\":1}]}").is_err());
 }
--- a/agatetrestle/src/members/vm_list.rs
+++ b/agatetrestle/src/members/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list as one sign among several; it lags.
+//! The platform's VM list, a lagging source of leave notices.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,70 +7,70 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// A list that can't be read.
+/// The VM list is malformed.
 #[derive(Debug, Snafu)]
 #[snafu(display("the VM list can't be read: {source}"))]
 pub struct VmListError {
     source: serde_json::Error,
 }
 
-/// State of a VM in the list.
+/// State of a VM as listed by the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It is about to go.
+    /// The VM is about to be stopped.
     Leaving,
 }
 
-/// A line of the list. The platform may name further fields, which are passed over.
+/// An entry of the VM list. Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 pub struct Vm {
     /// Name of the VM.
     pub name: Arc<str>,
-    /// What the platform says of it.
+    /// State of the VM.
     pub state: VmState,
-    /// Higher for each VM of this name, or 0 where the platform does not count them.
+    /// Incarnation, higher for each new VM of this name; 0 if the platform does not provide it.
     #[serde(default)]
     pub incarnation: u64,
 }
 
 #[derive(Deserialize)]
-struct Listing {
+struct VmList {
     vms: Vec<Vm>,
 }
 
-/// Reads a list.
+/// Parses a VM list.
 ///
 /// # Errors
 ///
-/// Fails if the bytes are no list of VMs.
+/// Fails if the bytes are not a list of VMs.
 pub fn parse(bytes: &[u8]) -> Result<Vec<Vm>, VmListError> {
-    let listing: Listing = serde_json::from_slice(bytes).context(VmListSnafu)?;
-    Ok(listing.vms)
+    let list: VmList = serde_json::from_slice(bytes).context(VmListSnafu)?;
+    Ok(list.vms)
 }
 
-/// What changed from one list to the next.
+/// A change of a VM between two lists.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum VmChange {
-    /// The VM began to leave.
+    /// The VM started to leave.
     Leaving(Vm),
-    /// The list shows it live; only a newer incarnation than the one that left counts.
+    /// The VM is listed as live, which matters only for a newer incarnation than the one that left.
     Live(Vm),
 }
 
-/// Compares each list with the one before.
+/// Compares each list with the previous one.
 ///
-/// Only the moment at which a VM begins to leave is told, because the list may go on saying so after a new VM
-/// took the name, and that one must not be marked.
+/// A VM is reported as leaving only once, because the list may lag after a new VM has taken the name, and that VM must not
+/// be marked as leaving.
 #[derive(Clone, Debug, Default)]
 pub struct VmListReader {
     known: BTreeMap<Arc<str>, Vm>,
 }
 
 impl VmListReader {
-    /// Takes in a list and returns what changed.
+    /// Stores a list and returns the changes since the previous one.
     pub fn update(&mut self, list: Vec<Vm>) -> Vec<VmChange> {
         let mut changes = Vec::new();
         for vm in list {
