--- a/agatetrestle/src/agreement/coding.rs
+++ b/agatetrestle/src/agreement/coding.rs
@@ -1,4 +1,4 @@
-//! Bytes of replica sets and of snapshots under way between replicas.
+//! Encoding of replica sets and of the snapshots that replicas send to each other.
 
 use std::sync::Arc;
 
@@ -10,27 +10,27 @@
 use crate::agreement::Snapshot;
 use crate::agreement::message::Position;
 
-/// Bytes that give the length of the replica set in front of a snapshot's data.
+/// Size of the length field in front of the replica set.
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are no replica set or snapshot.
+/// Why a replica set or snapshot can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum CodingError {
-    /// The replica set can't be decoded.
-    #[snafu(display("the replica set can't be decoded: {source}"))]
+    /// The replica set is not valid CBOR.
+    #[snafu(display("failed to decode replica set: {source}"))]
     Undecodable {
-        /// What the decoder said.
+        /// The decoder's error.
         source: ciborium::de::Error<std::io::Error>,
     },
-    /// The bytes end too early.
-    #[snafu(display("the snapshot ends after {length} bytes, within its replica set"))]
-    Short {
-        /// Bytes at hand.
+    /// The snapshot ends within its header.
+    #[snafu(display("snapshot truncated in its header: got {length} bytes"))]
+    Truncated {
+        /// Bytes received.
         length: usize,
     },
 }
 
-/// Codes a replica set as the payload of its entry.
+/// Encodes a replica set as the payload of a log entry.
 ///
 /// # Panics
 ///
@@ -42,21 +42,21 @@
     buf.into()
 }
 
-/// Reads back what [`encode_replicas`] wrote.
+/// Decodes the output of [`encode_replicas`].
 ///
 /// # Errors
 ///
-/// Fails on bytes that are no replica set.
+/// Fails if the bytes are not a replica set.
 pub fn decode_replicas(bytes: &[u8]) -> Result<Replicas, CodingError> {
     ciborium::from_reader(bytes).context(UndecodableSnafu)
 }
 
-/// What stands in front of a snapshot's data: its replica set and the length of that. The data itself is large and
-/// is sent from where it is.
+/// Encodes the header of a snapshot, which holds the length of the replica set and the set itself. The data
+/// follows separately, so that it is not copied.
 ///
 /// # Panics
 ///
-/// If a replica set took more than 4 GiB.
+/// If the encoded replica set exceeds 4 GiB.
 #[must_use]
 pub fn snapshot_header(replicas: &Replicas) -> Vec<u8> {
     let replicas = encode_replicas(replicas);
@@ -67,16 +67,16 @@
     buf
 }
 
-/// Reads back a head and the data behind it, which stays where it is.
+/// Decodes a header and the data behind it without copying the data.
 ///
 /// # Errors
 ///
-/// Fails on bytes that hold no replica set.
+/// Fails if the header is truncated or holds no replica set.
 pub fn decode_snapshot(position: Position, bytes: &Bytes) -> Result<Snapshot, CodingError> {
-    let short = || CodingError::Short { length: bytes.len() };
-    let (length, rest) = bytes.split_first_chunk::<LENGTH_BYTES>().ok_or_else(short)?;
+    let truncated = || CodingError::Truncated { length: bytes.len() };
+    let (length, rest) = bytes.split_first_chunk::<LENGTH_BYTES>().ok_or_else(truncated)?;
     let length = usize::try_from(u32::from_le_bytes(*length)).unwrap_or(usize::MAX);
-    let (replicas, data) = rest.split_at_checked(length).ok_or_else(short)?;
+    let (replicas, data) = rest.split_at_checked(length).ok_or_else(truncated)?;
     let replicas = decode_replicas(replicas)?;
     Ok(Snapshot { position, replicas, data: bytes.slice_ref(data) })
 }
--- a/agatetrestle/src/agreement/message.rs
+++ b/agatetrestle/src/agreement/message.rs
@@ -5,131 +5,131 @@
 use crate::ids::GroupId;
 use crate::ids::NodeId;
 
-/// Place of an entry in a group's log.
+/// Term and index of a log entry.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Position {
-    /// Term of the leader that created the entry; compared first, as log freshness demands.
+    /// Term of the leader that created the entry. Compared first, as Raft's up-to-date check requires.
     pub term: u64,
-    /// Place in the log, counting from 1; 0 means before the first entry.
+    /// Index in the log, starting at 1; 0 is before the first entry.
     pub index: u64,
 }
 
-/// What an entry holds.
+/// Type of an entry's payload.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EntryKind {
     /// A command for the state machine.
     Command,
-    /// Nothing; a new leader writes one to commit what earlier terms left.
+    /// Empty; a new leader appends one to commit the entries of earlier terms.
     NoOperation,
-    /// The set of voters and learners from this index on, as coded by [`super`].
+    /// Membership from this index on, encoded by [`super::coding::encode_replicas`].
     Replicas,
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// Where it stands.
+    /// Term and index.
     pub position: Position,
-    /// How to read the payload.
+    /// Type of the payload.
     pub kind: EntryKind,
-    /// Coded command or replica set.
+    /// Encoded command or replica set.
     pub payload: Arc<[u8]>,
 }
 
 /// A message from one replica to another.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Message {
-    /// The group it belongs to; a replica drops messages of other groups.
+    /// Group of both replicas; a replica ignores messages for other groups.
     pub group: GroupId,
     /// Sender.
     pub from: NodeId,
     /// Receiver.
     pub to: NodeId,
-    /// Sender's term; for a pre-vote the term it would stand in.
+    /// Sender's term. In a pre-vote, the term in which it would campaign.
     pub term: u64,
-    /// What it says.
+    /// Content of the message.
     pub body: Body,
 }
 
 impl Message {
-    /// Whether a leader counts the receiver as a learner, which a node without a replica takes for an invitation.
+    /// Whether a leader addresses the receiver as a learner; a node without a replica then creates one.
     #[must_use]
     pub fn addresses_learner(&self) -> bool {
         matches!(self.body, Body::Append { learner: true, .. } | Body::Snapshot { learner: true, .. })
     }
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Body {
-    /// Would you vote for me? Keeps a replica that was cut off from disturbing a healthy leader.
+    /// Asks whether a vote would be granted, so that a partitioned replica does not disrupt a healthy leader.
     PreVote {
-        /// The sender's last entry.
+        /// Sender's last log entry.
         last: Position,
     },
-    /// Answer to a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
-        /// Whether a vote would be given.
+        /// Whether a vote would be granted.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote.
     Vote {
-        /// The sender's last entry.
+        /// Sender's last log entry.
         last: Position,
-        /// Set where the leader itself asked the sender to take over, so that its lease is no obstacle.
+        /// Set in a leadership transfer, in which the leader has given up its lease.
         transfer: bool,
     },
-    /// Answer to a request for a vote.
+    /// Reply to a vote request.
     VoteReply {
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Entries to append; with none it is the leader's heartbeat.
+    /// Entries to append; empty as a heartbeat.
     Append {
-        /// The entry right before the first one here.
+        /// Entry before the first of `entries`.
         previous: Position,
-        /// Highest index the leader knows to be committed.
+        /// Leader's commit index.
         commit: u64,
-        /// Number of the leader's sending round, echoed in the reply, from which the leader derives its lease.
+        /// Heartbeat round, echoed in the reply, from which the leader derives its lease.
         round: u64,
-        /// The entries, in order.
+        /// Entries in log order.
         entries: Vec<Entry>,
-        /// Whether the sender counts the receiver as a learner, which lets a replica without files join.
+        /// Whether the receiver is a learner, which lets a replica without files join.
         learner: bool,
     },
-    /// Answer to entries, given only after they are synced.
+    /// Reply to entries, sent once they are synced.
     AppendReply {
         /// Whether the log matched at the previous position.
         accepted: bool,
-        /// Highest matching index if accepted, else where the leader should try next.
+        /// Highest matching index if accepted, else the index from which the leader should retry.
         matched: u64,
-        /// The round that is answered.
+        /// Round of the request.
         round: u64,
     },
-    /// A piece of a snapshot.
+    /// A chunk of a snapshot.
     Snapshot {
-        /// The last entry that the snapshot covers.
+        /// Last entry included in the snapshot.
         position: Position,
-        /// Offset of the piece.
+        /// Byte offset of the chunk.
         offset: u64,
-        /// The piece.
+        /// Bytes of the chunk.
         chunk: Arc<[u8]>,
-        /// Whether it is the last piece.
+        /// Whether it is the last chunk.
         last: bool,
         /// As in [`Body::Append`].
         learner: bool,
         /// As in [`Body::Append`].
         round: u64,
     },
-    /// Answer to a piece of a snapshot.
+    /// Reply to a chunk of a snapshot.
     SnapshotReply {
-        /// The snapshot that is answered.
+        /// Position of the snapshot.
         position: Position,
         /// Bytes received so far.
         received: u64,
         /// As in [`Body::AppendReply`].
         round: u64,
     },
-    /// The leader, about to stop, asks the receiver to stand for election at once.
+    /// Asks the receiver to campaign at once, which completes a leadership transfer.
     TimeoutNow,
 }
--- a/agatetrestle/src/agreement/mod.rs
+++ b/agatetrestle/src/agreement/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated log: a pure state machine without I/O or clock, and its durable storage.
 //!
-//! A driver feeds [`Input`] to a replica and carries out each [`Output`] in order. Why a log of our
-//! own, and why it is pure: docs/design/001-replicated-log-and-groups.md.
+//! A driver feeds each [`Input`] to a replica and carries out every [`Output`] in order. The design is described
+//! in docs/design/001-replicated-log-and-groups.md.
 
 pub mod coding;
 pub mod message;
@@ -26,220 +26,218 @@
 use crate::history::HistoryError;
 use crate::ids::NodeId;
 
-/// Handle by which the driver recognises the outcome of a proposal.
+/// Identifies a proposal, read or replica change, so that the driver can match its outcome.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// What a replica must never forget between two terms.
+/// Raft state besides the log that must survive a restart.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HardState {
-    /// Newest term seen.
+    /// Latest term seen.
     pub term: u64,
-    /// The node voted for in that term, if any.
+    /// Node voted for in that term, if any.
     pub vote: Option<NodeId>,
-    /// Set on a replica that joined without files, until a later message counts it as a voter: it then
-    /// neither votes nor stands, since its log may name it a voter from before it lost its files.
+    /// Set on a replica that joined without files, until a later message addresses it as a voter. Until then it
+    /// neither votes nor campaigns, since its log may list it as a voter from before it lost its files.
     pub without_vote: Option<LearnerAdmission>,
 }
 
-/// The message by which a leader let a replica without files take part as a learner.
+/// Identifies the leader's message that admitted a replica without files as a learner.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct LearnerAdmission {
     /// Term of the leader, never 0.
     pub term: u64,
-    /// Its round.
+    /// Heartbeat round of the message.
     pub round: u64,
 }
 
-/// Who takes part in a group.
+/// Membership of a group.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Replicas {
-    /// Nodes whose acknowledgement counts.
+    /// Nodes that count towards a majority.
     pub voters: BTreeSet<NodeId>,
-    /// Nodes that receive the log but don't count yet.
+    /// Nodes that receive the log but don't count towards a majority.
     pub learners: BTreeSet<NodeId>,
 }
 
-/// A single-step change of the replicas; the next is refused until this one is committed.
+/// A change of membership by one node; the next is rejected until this one is committed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReplicaChange {
-    /// Add a node that receives the log.
+    /// Add a node as a learner.
     AddLearner(NodeId),
-    /// Let a learner count; refused while it lags.
+    /// Make a learner a voter; rejected while it lags behind the commit index.
     Promote(NodeId),
     /// Remove a node.
     Remove(NodeId),
 }
 
-/// Something that happened to a replica.
+/// An event for a replica to process.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed.
+    /// Lets the replica check its timeouts.
     Tick,
     /// A message arrived.
     Receive(Message),
-    /// The driver wants a command in the log.
+    /// Append a command to the log.
     Propose {
-        /// Handle for the outcome.
+        /// Identifies the outcome.
         ticket: Ticket,
-        /// The coded command.
+        /// Encoded command.
         payload: Arc<[u8]>,
     },
-    /// The driver wants to read the state machine as of now; answered once the lease or a round proves leadership.
+    /// Request a linearizable read; answered once the lease or a heartbeat round confirms leadership.
     Read(Ticket),
     /// All writes up to this sequence number are synced.
     Written(u64),
-    /// A write failed for want of space or by an I/O error; a leader steps down.
+    /// A write failed, such as on a full disk or an I/O error; the replica stops for good, and a leader steps down.
     WriteFailed,
-    /// The driver took a snapshot of the state machine as of this position and has stored it durably;
-    /// there is no [`Output::Write`] for it.
+    /// The driver has durably stored a snapshot of the state machine, without an [`Output::Write`].
     SnapshotTaken {
-        /// The last entry the snapshot covers.
+        /// Last entry included in the snapshot.
         position: Position,
     },
-    /// The coded state machine that [`Output::EncodeSnapshot`] asked for, as of its last applied entry.
+    /// The state machine that [`Output::EncodeSnapshot`] requested, as of its last applied entry.
     SnapshotEncoded {
-        /// That entry.
+        /// Last applied entry.
         position: Position,
-        /// The coded state machine.
+        /// Encoded state machine.
         data: Bytes,
     },
-    /// Change who takes part.
+    /// Change the membership.
     ChangeReplicas {
-        /// Handle for the outcome.
+        /// Identifies the outcome.
         ticket: Ticket,
-        /// The change.
+        /// Node to add, promote or remove.
         change: ReplicaChange,
     },
-    /// This node is about to stop: hand leadership to a caught-up voter.
+    /// Transfer leadership to an up-to-date voter, since this node is about to stop.
     TransferLeadership,
 }
 
-/// What must be made durable, in sequence, before [`Input::Written`] is said.
+/// Changes to make durable, in sequence, before they are confirmed by [`Input::Written`].
 #[derive(Clone, Debug, Default)]
 pub struct Write {
-    /// Sequence number; batches may be merged and acknowledged by the last one.
+    /// Sequence number; confirming it confirms all earlier writes too.
     pub sequence: u64,
-    /// New term and vote.
+    /// New term and vote, if they changed.
     pub hard_state: Option<HardState>,
-    /// Drop entries from this index on, before the snapshot is stored and the entries are appended.
+    /// Remove entries from this index on, before the snapshot is stored and the entries are appended.
     pub truncate_from: Option<u64>,
     /// Entries to append.
     pub entries: Vec<Entry>,
-    /// Replace all entries up to its position by this received snapshot; later ones stay unless truncated.
+    /// Received snapshot that replaces all entries up to its position; later ones stay unless truncated.
     pub snapshot: Option<Snapshot>,
 }
 
 /// The state machine as of a position.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Snapshot {
-    /// The last entry it covers.
+    /// Last entry included.
     pub position: Position,
-    /// Who took part at that point.
+    /// Membership as of that entry.
     pub replicas: Replicas,
-    /// The coded state machine.
+    /// Encoded state machine.
     pub data: Bytes,
 }
 
-/// Why a proposal or read was turned away; in each case nothing entered the log.
+/// Why a proposal, read or change was rejected; nothing was appended to the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Rejection {
-    /// This replica does not lead; the leader if known.
+    /// This replica is not the leader; holds the leader if known.
     NotLeader(Option<NodeId>),
-    /// Too many proposals are under way.
+    /// Too many proposals or reads are pending, or the oldest proposal has waited too long.
     Busy,
-    /// Another change of replicas is under way, or the learner lags.
+    /// Another membership change is uncommitted, or the learner lags.
     ChangePending,
-    /// The change makes no sense: it promotes a stranger or removes the last voter.
+    /// The change promotes a node that is not a learner or removes the last voter.
     InvalidChange,
 }
 
-/// What the driver must do.
+/// An action for the driver to carry out.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Make this durable and answer [`Input::Written`].
+    /// Make this durable and confirm it with [`Input::Written`].
     Write(Write),
-    /// Send a message; losing it is harmless.
+    /// Send a message, which may be lost.
     Send(Message),
-    /// Apply a committed command. The ticket is set on the replica that proposed it.
+    /// Apply a committed command.
     Apply {
-        /// Where it stands.
+        /// Position in the log.
         position: Position,
-        /// The coded command.
+        /// Encoded command.
         payload: Arc<[u8]>,
-        /// Handle of the proposal.
+        /// Set on the replica that proposed it.
         ticket: Option<Ticket>,
     },
-    /// Replace the state machine by a snapshot.
+    /// Replace the state machine's state by a snapshot.
     Restore(Snapshot),
-    /// Code the state machine for a peer that lags too far, and answer [`Input::SnapshotEncoded`]. The replica holds no
-    /// copy of the state from before, which would cost memory all day for a case that is rare.
+    /// Encode the state machine for a peer that needs entries already compacted, and reply with
+    /// [`Input::SnapshotEncoded`]. The replica keeps no snapshot in memory.
     EncodeSnapshot,
-    /// A read may be answered from the state machine as it is now.
+    /// Answer a read from the current state.
     ReadReady(Ticket),
-    /// The proposal, read or change did not enter the log.
+    /// A proposal, read or change was rejected.
     Reject {
-        /// Handle of the proposal.
+        /// Identifies the rejected request.
         ticket: Ticket,
-        /// Why.
+        /// Why it was rejected.
         reason: Rejection,
     },
-    /// A set of replicas is committed; the ticket is set on the replica that proposed the change.
+    /// A membership is committed.
     Replicas {
-        /// Handle of the change.
+        /// Set on the replica that proposed the change.
         ticket: Option<Ticket>,
-        /// Who takes part from now on.
+        /// The committed membership.
         replicas: Replicas,
     },
-    /// The proposal entered the log but leadership was lost; it may yet be applied.
+    /// Leadership was lost after the proposal was appended; it may still be committed.
     OutcomeUnknown(Ticket),
-    /// Leadership, term or known leader changed.
+    /// The term or the known leader changed.
     Role {
-        /// The term.
+        /// Current term.
         term: u64,
-        /// The leader if known.
+        /// Leader of that term, if known.
         leader: Option<NodeId>,
     },
 }
 
-/// Codes a state that was set aside.
+/// Encodes a copy of the state as of when this encoder was made.
 pub type SnapshotEncoder = Box<dyn FnOnce() -> Vec<u8> + Send>;
 
-/// What a replicated group computes.
+/// The state machine that a group replicates.
 pub trait StateMachine {
-    /// Applies one committed command and returns the coded reply; must be deterministic. The state may hold on to
-    /// the payload, which the log shares.
+    /// Applies a committed command and returns the encoded reply. Must be deterministic. The state may keep a
+    /// reference to the payload, which the log shares.
     fn apply(&mut self, position: Position, payload: &Arc<[u8]>) -> Vec<u8>;
 
-    /// Applies a command whose reply nobody waits for, as all but the leader do and everyone at a start; coding a
-    /// reply may cost more than the command.
+    /// Applies a committed command without encoding a reply, such as on a follower or while replaying the log.
     fn apply_without_reply(&mut self, position: Position, payload: &Arc<[u8]>) {
         self.apply(position, payload);
     }
 
-    /// Codes the whole state.
+    /// Encodes the whole state.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// What codes the state as it is now, on whatever thread: a state that takes long to code hands out a copy that
-    /// shares its texts, since a replica that is busy for longer than an election lasts is held to be lost.
+    /// Returns an encoder of the current state that can run on any thread. A large state should return one over a
+    /// cheap copy, since a leader that blocks for longer than the election timeout loses leadership.
     fn snapshot_encoder(&self) -> SnapshotEncoder {
         let data = self.snapshot();
         Box::new(move || data)
     }
 
-    /// Replaces the state by a coded one.
+    /// Replaces the state by an encoded one.
     ///
     /// # Errors
     ///
-    /// Fails if the snapshot can't be decoded, which a driver must treat as corruption.
+    /// Fails if the snapshot can't be decoded or its history is missing, which a driver must treat as corruption.
     fn restore(&mut self, data: &[u8]) -> Result<(), RestoreError>;
 
-    /// The append-only bytes beside the log that a coded state refers to, if there are any.
+    /// The append-only history stored outside the log that an encoded state refers to, if any.
     fn history(&mut self) -> Option<&mut dyn History> {
         None
     }
 
-    /// How far a coded state reaches into the history.
+    /// Length of the history that an encoded state refers to.
     ///
     /// # Errors
     ///
@@ -249,20 +247,20 @@
     }
 }
 
-/// A snapshot that can't be restored.
+/// Why a snapshot can't be restored.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum RestoreError {
-    /// Its bytes can't be decoded.
-    #[snafu(display("the snapshot can't be decoded: {source}"))]
+    /// The bytes can't be decoded.
+    #[snafu(display("failed to decode snapshot: {source}"))]
     Undecodable {
-        /// What the decoder said.
+        /// The decoder's error.
         source: DecodeError,
     },
-    /// It refers to history that is not there.
-    #[snafu(display("the snapshot does not fit the history: {source}"))]
+    /// The snapshot refers to history that is not stored.
+    #[snafu(display("snapshot refers to missing history: {source}"))]
     MissingHistory {
-        /// What is missing.
+        /// The history's error.
         source: HistoryError,
     },
 }
