--- a/agatetrestle/src/agreement/replica/change.rs
+++ b/agatetrestle/src/agreement/replica/change.rs
@@ -1,8 +1,7 @@
-//! Changes of the replicas, one at a time, and planned changes of leader.
+//! Single-server membership changes and leadership transfers.
 //!
-//! A set differs from the one before by one voter, so that majorities of both overlap; that holds only if each
-//! change waits until the one before is committed, and the first until this leader has committed an
-//! entry of its own term.
+//! Consecutive sets differ by one voter, so that their majorities overlap. This requires that each change
+//! waits until the previous one is committed, and the first until the leader has committed an entry of its own term.
 
 use crate::agreement::Output;
 use crate::agreement::Rejection;
@@ -14,7 +13,7 @@
 use crate::agreement::message::EntryKind;
 use crate::agreement::replica::Replica;
 use crate::agreement::replica::Role;
-use crate::agreement::replica::leader::Transfer;
+use crate::agreement::replica::leader::LeadershipTransfer;
 use crate::clock::Timestamp;
 use crate::ids::NodeId;
 
@@ -28,19 +27,20 @@
             }
         };
         if changed == *self.replicas() {
-            self.out.push(Output::Replicas { ticket: Some(ticket), replicas: changed });
+            self.outputs.push(Output::Replicas { ticket: Some(ticket), replicas: changed });
             return;
         }
-        let index = self.append_own(EntryKind::Replicas, coding::encode_replicas(&changed));
-        self.expect_outcome(now, index, ticket);
+        let index = self.append_as_leader(EntryKind::Replicas, coding::encode_replicas(&changed));
+        self.track_outcome(now, index, ticket);
         self.add_peers();
-        self.begin_round(now);
+        self.start_round(now);
     }
 
-    /// The set after a change, or why there is none.
+    /// Returns the set after a change, or why it is rejected.
     fn check_change(&self, now: Timestamp, change: ReplicaChange) -> Result<Replicas, Rejection> {
-        self.accepts_proposals(now)?;
-        let pending = self.sets.current_index() > self.commit && !faulty!(self, AllowTwoChanges);
+        self.check_accepts_proposals(now)?;
+        let pending =
+            self.memberships.current_index() > self.commit && !fault_injected!(self, AllowTwoChanges);
         if pending || !self.has_committed_own_term() {
             return Err(Rejection::ChangePending);
         }
@@ -76,46 +76,46 @@
         }
     }
 
-    /// Lets go of removed peers, and of leadership if this node was removed.
-    pub(super) fn finish_change(&mut self, now: Timestamp) {
-        if self.sets.current_index() > self.commit {
+    /// Drops the progress of removed peers once the change is committed, and steps down if this node was removed.
+    pub(super) fn complete_change(&mut self, now: Timestamp) {
+        if self.memberships.current_index() > self.commit {
             return;
         }
-        let replicas = self.sets.current();
+        let replicas = self.memberships.current();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let takes_part = |peer: &NodeId| replicas.voters.contains(peer) || replicas.learners.contains(peer);
-        leader.progress.retain(|peer, _| takes_part(peer));
+        let is_member = |peer: &NodeId| replicas.voters.contains(peer) || replicas.learners.contains(peer);
+        leader.progress.retain(|peer, _| is_member(peer));
         if !self.is_voter(self.cfg.node) {
-            self.begin_round(now);
+            self.start_round(now);
             self.become_follower(self.term, None);
             self.reset_election_deadline(now);
         }
     }
 
-    pub(super) fn hand_over(&mut self, now: Timestamp) {
+    pub(super) fn transfer_leadership(&mut self, now: Timestamp) {
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let voters = &self.sets.current().voters;
-        let candidates = leader.progress.iter().filter(|(peer, _)| voters.contains(peer));
-        let best = candidates.max_by_key(|(_, progress)| (progress.acked_at, progress.matched));
-        if let Some((peer, _)) = best {
-            leader.transfer = Some(Transfer { to: *peer, since: now });
-            self.retry_transfer();
+        let voters = &self.memberships.current().voters;
+        let peers = leader.progress.iter().filter(|(peer, _)| voters.contains(peer));
+        let target = peers.max_by_key(|(_, progress)| (progress.acked_at, progress.matched));
+        if let Some((peer, _)) = target {
+            leader.transfer = Some(LeadershipTransfer { to: *peer, started: now });
+            self.try_transfer();
         }
     }
 
-    /// Asks the chosen peer to take over once it has the whole log.
+    /// Asks the target of a transfer to campaign once it has the whole log.
     ///
-    /// From then on it may be elected at any time, so the lease is given up for the rest of the term.
-    pub(super) fn retry_transfer(&mut self) {
+    /// It may then be elected at any time, so the lease is given up for the rest of the term.
+    pub(super) fn try_transfer(&mut self) {
         let last = self.log.last().index;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(Transfer { to, .. }) = leader.transfer else {
+        let Some(LeadershipTransfer { to, .. }) = leader.transfer else {
             return;
         };
         if leader.progress.get(&to).is_some_and(|progress| progress.matched == last) {
@@ -124,11 +124,11 @@
         }
     }
 
-    /// Takes proposals again if nobody took over in time.
+    /// Accepts proposals again if the transfer has not completed within an election timeout.
     pub(super) fn expire_transfer(&mut self, now: Timestamp) {
         let timeout = self.cfg.election_timeout;
         if let Role::Leader(leader) = &mut self.role
-            && leader.transfer.is_some_and(|transfer| now.since(transfer.since) >= timeout)
+            && leader.transfer.is_some_and(|transfer| now.since(transfer.started) >= timeout)
         {
             leader.transfer = None;
         }
--- a/agatetrestle/src/agreement/replica/election.rs
+++ b/agatetrestle/src/agreement/replica/election.rs
@@ -1,4 +1,4 @@
-//! Terms, pre-votes and votes.
+//! Leader election: terms, pre-votes and votes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,38 +18,38 @@
         if self.is_leader() {
             self.tick_leader(now);
         } else if now >= self.election_deadline {
-            self.ask_again_after(now, self.cfg.leader_interval);
-            self.begin_pre_vote(now);
+            self.schedule_pre_vote_retry(now, self.cfg.leader_interval);
+            self.start_pre_vote(now);
         }
     }
 
-    /// Waits for an election timeout and up to as much again, so that replicas seldom stand together.
+    /// Sets the deadline to a random time between one and two election timeouts, so that votes are rarely split.
     pub(super) fn reset_election_deadline(&mut self, now: Timestamp) {
         let spread = micros(self.cfg.election_timeout).max(1);
         let extra = self.next_random() % spread;
         self.election_deadline = Timestamp((now + self.cfg.election_timeout).0.saturating_add(extra));
     }
 
-    /// Asks for pre-votes again after a pause of once to twice this. They bind nobody, so what a refusal costs is the
-    /// pause alone: the others may only not be willing yet, such as after a restart of all.
-    fn ask_again_after(&mut self, now: Timestamp, pause: Duration) {
-        let extra = self.next_random() % micros(pause).max(1);
-        self.election_deadline = Timestamp((now + pause).0.saturating_add(extra));
+    /// Retries the pre-vote after a random time between one and two intervals. The retry comes before the next election
+    /// timeout because the other replicas may grant it soon, such as after all have restarted.
+    fn schedule_pre_vote_retry(&mut self, now: Timestamp, interval: Duration) {
+        let extra = self.next_random() % micros(interval).max(1);
+        self.election_deadline = Timestamp((now + interval).0.saturating_add(extra));
     }
 
-    /// Moves to a newer term where the message calls for it; `false` if the message is to be dropped.
+    /// Adopts the newer term of a message if its type requires that; returns `false` if the message is to be ignored.
     pub(super) fn adopt_term(&mut self, now: Timestamp, from: NodeId, term: u64, body: &Body) -> bool {
         match body {
             Body::PreVote { .. } | Body::PreVoteReply { granted: true } => true,
-            Body::Vote { transfer: false, .. } if self.hears_leader(now) => false,
+            Body::Vote { transfer: false, .. } if self.lease_blocks_vote(now) => false,
             Body::Append { .. } | Body::Snapshot { .. } => {
                 self.become_follower(term, Some(from));
                 true
             }
             _ => {
-                let led = self.is_leader();
+                let was_leader = self.is_leader();
                 self.become_follower(term, None);
-                if led {
+                if was_leader {
                     self.reset_election_deadline(now);
                 }
                 true
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Tells the sender of a message of an older term about the present one.
-    pub(super) fn answer_older_term(&mut self, from: NodeId, body: &Body) {
+    /// Replies to a request of an earlier term with the current one.
+    pub(super) fn reply_to_stale_term(&mut self, from: NodeId, body: &Body) {
         match body {
             Body::PreVote { .. } => self.send(from, Body::PreVoteReply { granted: false }),
             Body::Vote { .. } => self.send_when_durable(from, Body::VoteReply { granted: false }),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Becomes a follower, and tells those who wait for an outcome that this node can't give one.
+    /// Becomes a follower and resolves the pending proposals and reads of a former leader.
     pub(super) fn become_follower(&mut self, term: u64, leader: Option<NodeId>) {
         if term > self.term {
             self.term = term;
@@ -82,28 +82,28 @@
             return;
         };
         for (ticket, _) in state.tickets.into_values() {
-            self.out.push(Output::OutcomeUnknown(ticket));
+            self.outputs.push(Output::OutcomeUnknown(ticket));
         }
         for read in state.reads {
             self.reject(read.ticket, Rejection::NotLeader(leader));
         }
     }
 
-    /// Whether a leader may hold a lease that this replica's promise backs.
-    fn hears_leader(&self, now: Timestamp) -> bool {
-        if faulty!(self, VoteDuringLease) {
+    /// Whether a leader's lease may rely on this replica not voting.
+    fn lease_blocks_vote(&self, now: Timestamp) -> bool {
+        if fault_injected!(self, VoteDuringLease) {
             return false;
         }
-        let heard = match &self.role {
+        let contact = match &self.role {
             Role::Leader(_) => self.quorum_acked_at(now),
-            _ => Some(self.heard),
+            _ => Some(self.leader_contact),
         };
-        heard.is_some_and(|heard| now.since(heard) < self.cfg.election_timeout)
+        contact.is_some_and(|contact| now.since(contact) < self.cfg.election_timeout)
     }
 
-    fn begin_pre_vote(&mut self, now: Timestamp) {
+    fn start_pre_vote(&mut self, now: Timestamp) {
         self.leader = None;
-        if !self.may_stand() {
+        if !self.can_campaign() {
             return;
         }
         self.role = Role::PreCandidate { votes: BTreeSet::from([self.cfg.node]) };
@@ -115,8 +115,8 @@
     }
 
     pub(super) fn receive_pre_vote(&mut self, now: Timestamp, from: NodeId, term: u64, last: Position) {
-        let newer = term > self.term && last >= self.log.last();
-        let granted = newer && self.without_vote.is_none() && !self.hears_leader(now);
+        let eligible = term > self.term && last >= self.log.last();
+        let granted = eligible && self.without_vote.is_none() && !self.lease_blocks_vote(now);
         let reply_term = if granted { term } else { self.term };
         self.send_in_term(from, reply_term, Body::PreVoteReply { granted });
     }
@@ -135,37 +135,37 @@
         if let Role::PreCandidate { votes } = &self.role
             && self.is_majority(votes)
         {
-            self.stand(now, false);
+            self.campaign(now, false);
         }
     }
 
-    /// Stands for election in a new term. Votes are asked for once the vote for itself is durable.
-    fn stand(&mut self, now: Timestamp, transfer: bool) {
+    /// Campaigns in a new term. Votes are requested once the vote for itself is durable.
+    fn campaign(&mut self, now: Timestamp, transfer: bool) {
         self.become_follower(self.term + 1, None);
         self.vote = Some(self.cfg.node);
         self.save_hard_state();
         self.reset_election_deadline(now);
-        self.role = Role::Candidate { votes: BTreeSet::new(), gate: self.gate() };
+        self.role = Role::Candidate { votes: BTreeSet::new(), vote_write: self.required_write() };
         let last = self.log.last();
         for voter in self.other_voters() {
             self.send_when_durable(voter, Body::Vote { last, transfer });
         }
     }
 
-    pub(super) fn receive_take_over(&mut self, now: Timestamp, from: NodeId) {
-        let follows = matches!(self.role, Role::Follower) && self.leader == Some(from);
-        if follows && self.is_voter(self.cfg.node) && self.without_vote.is_none() {
-            self.stand(now, true);
+    pub(super) fn receive_timeout_now(&mut self, now: Timestamp, from: NodeId) {
+        let from_leader = matches!(self.role, Role::Follower) && self.leader == Some(from);
+        if from_leader && self.is_voter(self.cfg.node) && self.without_vote.is_none() {
+            self.campaign(now, true);
         }
     }
 
     pub(super) fn receive_vote(&mut self, now: Timestamp, from: NodeId, last: Position, transfer: bool) {
-        let free = self.vote.is_none_or(|vote| vote == from) && self.without_vote.is_none();
-        let allowed = transfer || !self.hears_leader(now);
-        let granted = free && allowed && last >= self.log.last();
+        let available = self.vote.is_none_or(|vote| vote == from) && self.without_vote.is_none();
+        let allowed = transfer || !self.lease_blocks_vote(now);
+        let granted = available && allowed && last >= self.log.last();
         if granted {
             self.vote = Some(from);
-            if !faulty!(self, ForgetVote) {
+            if !fault_injected!(self, ForgetVote) {
                 self.save_hard_state();
             }
             self.reset_election_deadline(now);
@@ -182,11 +182,11 @@
         }
     }
 
-    /// Counts the vote for itself once that is durable.
+    /// Counts the candidate's own vote once it is durable.
     pub(super) fn count_own_vote(&mut self, now: Timestamp) {
-        let written = self.written;
-        if let Role::Candidate { votes, gate } = &mut self.role
-            && *gate <= written
+        let synced = self.synced_sequence;
+        if let Role::Candidate { votes, vote_write } = &mut self.role
+            && *vote_write <= synced
         {
             votes.insert(self.cfg.node);
             self.count_votes(now);
@@ -202,18 +202,18 @@
         }
     }
 
-    /// Whether this node votes by a set that may be in force.
+    /// Whether this node is a voter in a set that may be in effect.
     ///
-    /// A node whose own removal is not known to be committed must stand too, since it may be the only
-    /// one with a log that a majority of the other set accepts.
-    fn may_stand(&self) -> bool {
+    /// A node whose removal is not known to be committed must campaign too, since it may be the only one with a log
+    /// that a majority of the new set accepts.
+    fn can_campaign(&self) -> bool {
         self.without_vote.is_none()
-            && self.sets.since(self.commit).any(|replicas| replicas.voters.contains(&self.cfg.node))
+            && self.memberships.since(self.commit).any(|replicas| replicas.voters.contains(&self.cfg.node))
     }
 
-    /// Whether a node is a learner, also while its removal is not committed; a promotion counts at once.
+    /// Whether a node is a learner. A removal takes effect once committed, a promotion at once.
     pub(super) fn is_learner(&self, node: NodeId) -> bool {
-        let mut sets = self.sets.since(self.commit);
+        let mut sets = self.memberships.since(self.commit);
         !self.is_voter(node) && sets.any(|replicas| replicas.learners.contains(&node))
     }
 
@@ -231,10 +231,10 @@
         voters.intersection(nodes).count() > voters.len() / 2
     }
 
-    /// The next number of a `splitmix64` sequence, which needs no more than to differ between replicas.
+    /// Returns the next number of a `splitmix64` sequence.
     fn next_random(&mut self) -> u64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.random;
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.rng_state;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         z ^ (z >> 31)
--- a/agatetrestle/src/agreement/replica/fault.rs
+++ b/agatetrestle/src/agreement/replica/fault.rs
@@ -1,50 +1,50 @@
-//! Deliberate faults, by which the failure tests prove that they can fail.
+//! Injected faults, which show that the failure tests detect violations.
 
 use crate::agreement::replica::Replica;
 use crate::clock::Timestamp;
 
-/// One way in which a replica of the tests is wrong.
+/// A bug injected into a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(in crate::agreement) enum Fault {
-    /// Votes and acknowledgements are sent before the write that they depend on is synced.
+    /// Votes and acknowledgements are sent before the write they depend on is synced.
     AcknowledgeBeforeSync,
-    /// A leader counts its own entries before they are synced.
+    /// A leader counts its own entries as replicated before they are synced.
     CountOwnUnsynced,
-    /// An entry of an older term is committed by counting replicas.
+    /// An entry of an earlier term is committed by counting replicas.
     CommitOlderTerm,
-    /// The vote is not made durable.
+    /// The vote is not stored.
     ForgetVote,
-    /// The lease is counted from the receipt of an answer, which a pause may have delayed.
+    /// The lease is counted from the receipt of a reply, which a pause may have delayed.
     RenewLeaseOnReceipt,
-    /// A follower takes entries whatever comes before them.
+    /// A follower appends entries without checking the previous one.
     SkipLogMatching,
-    /// A second change of replicas may begin before the first is committed.
+    /// A second membership change may start before the first is committed.
     AllowTwoChanges,
-    /// Votes are given while a live leader's lease may hold.
+    /// Votes are granted while a leader's lease may hold.
     VoteDuringLease,
-    /// A restarted replica votes at once, whatever it promised before.
+    /// A restarted replica votes at once, although a lease may still rely on it.
     VoteAfterRestart,
-    /// Reads are answered without proof of leadership.
+    /// Reads are answered without confirming leadership.
     ReadWithoutLease,
     /// Reads are answered before an entry of the leader's own term is committed.
     ReadBeforeOwnTerm,
-    /// The lease goes on after another node was asked to take over.
+    /// The lease stays valid after another node was asked to campaign.
     KeepLeaseAfterTransfer,
-    /// One acknowledgement less than a majority commits.
+    /// An entry is committed with one acknowledgement less than a majority.
     CommitByMinority,
 }
 
 impl Replica {
-    /// The replica with a fault, if any; called right after a start.
+    /// Injects a fault, if any; to be called right after creation.
     pub(in crate::agreement) fn with_fault(mut self, fault: Option<Fault>) -> Self {
         self.fault = fault;
-        if self.has(Fault::VoteAfterRestart) {
-            self.heard = Timestamp::default();
+        if self.has_fault(Fault::VoteAfterRestart) {
+            self.leader_contact = Timestamp::default();
         }
         self
     }
 
-    pub(super) fn has(&self, fault: Fault) -> bool {
+    pub(super) fn has_fault(&self, fault: Fault) -> bool {
         self.fault == Some(fault)
     }
 }
--- a/agatetrestle/src/agreement/replica/leader.rs
+++ b/agatetrestle/src/agreement/replica/leader.rs
@@ -1,109 +1,105 @@
-//! What only a leader keeps: the progress of its peers, its rounds, and who waits for an outcome.
+//! State of a leader: replication progress, heartbeat rounds, pending proposals and reads.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
 use crate::agreement::Ticket;
-use crate::agreement::replica::snapshot::Outgoing;
+use crate::agreement::replica::snapshot::OutgoingSnapshot;
 use crate::clock::Timestamp;
 use crate::ids::NodeId;
 
-/// Appends with entries that may be on their way to one peer; further entries gather into the next batch. One is answered in
-/// some 3 ms, so a leader sends each peer 300 a second at most, however many commands come: with four on their way it carried
-/// 1,825 commands a second where one carries 2,744 (`agreement/tests/overload.rs`), and a calm group was no faster.
-pub(super) const APPENDS_UNDER_WAY: u32 = 1;
+/// Unacknowledged appends with entries per peer. Further entries are batched into the next one, which limits the
+/// number of messages under load.
+pub(super) const MAX_IN_FLIGHT_APPENDS: u32 = 1;
 
-/// How entries reach a peer.
+/// How entries are sent to a peer.
 #[derive(Clone, Debug)]
-pub(super) enum Stage {
-    /// Its log is not known yet; one message at a time.
+pub(super) enum ProgressState {
+    /// Finding the index at which the logs match, one message at a time.
     Probe {
-        /// Whether a message is on its way.
+        /// Whether a message is unacknowledged.
         waiting: bool,
     },
-    /// Its log matches; entries go out without waiting for each answer.
+    /// The logs match; entries are sent ahead of acknowledgements, up to `MAX_IN_FLIGHT_APPENDS` messages.
     Replicate {
-        /// Appends with entries that have not been answered.
-        under_way: u32,
+        /// Unacknowledged appends with entries.
+        in_flight: u32,
     },
-    /// It needs a snapshot.
+    /// Sending a snapshot, since the entries that the peer needs are compacted.
     Snapshot {
-        /// The snapshot, unless the driver still codes it.
-        outgoing: Option<Outgoing>,
-        /// Bytes that the peer has.
+        /// `None` until the driver has encoded the snapshot.
+        outgoing: Option<OutgoingSnapshot>,
+        /// Bytes received by the peer.
         offset: usize,
     },
 }
 
-/// What the leader knows of one peer.
+/// Replication progress of a peer.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// Highest index known to be durable there.
+    /// Highest index known to be durable on the peer.
     pub(super) matched: u64,
     /// Next index to send.
     pub(super) next: u64,
-    /// How entries reach it.
-    pub(super) stage: Stage,
-    /// Answers to earlier rounds are of a process that held this number before the peer was added.
+    pub(super) state: ProgressState,
+    /// Replies to earlier rounds are ignored, since a previous process with the same node ID sent them.
     pub(super) first_round: u64,
-    /// Highest round it answered, 0 for none.
+    /// Highest acknowledged round, 0 for none.
     pub(super) acked_round: u64,
-    /// When that round was sent.
+    /// When that round was sent, not when its reply arrived.
     pub(super) acked_at: Option<Timestamp>,
 }
 
 impl Progress {
     pub(super) fn new(next: u64, first_round: u64) -> Self {
-        let stage = Stage::Probe { waiting: false };
-        Self { matched: 0, next, stage, first_round, acked_round: 0, acked_at: None }
+        let state = ProgressState::Probe { waiting: false };
+        Self { matched: 0, next, state, first_round, acked_round: 0, acked_at: None }
     }
 }
 
-/// A read that waits for proof of leadership.
+/// A read that waits until leadership is confirmed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRead {
     pub(super) ticket: Ticket,
-    /// The round, begun after the read arrived, that a quorum must answer.
+    /// Round, started after the read arrived, that a majority must acknowledge.
     pub(super) round: u64,
 }
 
-/// A planned change of leader.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Transfer {
+pub(super) struct LeadershipTransfer {
     pub(super) to: NodeId,
-    pub(super) since: Timestamp,
+    pub(super) started: Timestamp,
 }
 
-/// State that ends with the leadership.
+/// State that is discarded when leadership ends.
 #[derive(Clone, Debug)]
-pub(super) struct Leader {
+pub(super) struct LeaderState {
     pub(super) progress: BTreeMap<NodeId, Progress>,
-    /// When leadership began.
-    pub(super) since: Timestamp,
-    /// Index of the empty entry that began the term.
+    pub(super) elected_at: Timestamp,
+    /// Index of the empty entry appended on election.
     pub(super) first_index: u64,
-    /// Newest round.
+    /// Latest round.
     pub(super) round: u64,
     /// Send times of recent rounds, oldest first.
     pub(super) rounds: VecDeque<(u64, Timestamp)>,
     pub(super) next_heartbeat: Timestamp,
-    /// Outcomes owed, by index, and since when.
+    /// Pending proposals and when they were made, by log index.
     pub(super) tickets: BTreeMap<u64, (Ticket, Timestamp)>,
     pub(super) reads: Vec<PendingRead>,
-    pub(super) transfer: Option<Transfer>,
-    /// Set once another node was asked to take over: it may be elected during what was the lease.
+    pub(super) transfer: Option<LeadershipTransfer>,
+    /// Set once another node was asked to campaign, since it may be elected during the lease.
     pub(super) lease_forfeited: bool,
 }
 
-impl Leader {
-    pub(super) fn new(since: Timestamp, first_index: u64) -> Self {
+impl LeaderState {
+    pub(super) fn new(elected_at: Timestamp, first_index: u64) -> Self {
         Self {
             progress: BTreeMap::new(),
-            since,
+            elected_at,
             first_index,
             round: 0,
             rounds: VecDeque::new(),
-            next_heartbeat: since,
+            next_heartbeat: elected_at,
             tickets: BTreeMap::new(),
             reads: Vec::new(),
             transfer: None,
@@ -111,18 +107,18 @@
         }
     }
 
-    /// Whether an answer is of the process that holds the peer's number now.
-    pub(super) fn knows(&self, peer: NodeId, round: u64) -> bool {
+    /// Whether a reply to `round` comes from the peer's current process.
+    pub(super) fn is_current_reply(&self, peer: NodeId, round: u64) -> bool {
         self.progress.get(&peer).is_some_and(|progress| round >= progress.first_round)
     }
 
-    /// When a round was sent, if that was recent.
+    /// When a recent round was sent.
     pub(super) fn sent_at(&self, round: u64) -> Option<Timestamp> {
         self.rounds.iter().find(|(number, _)| *number == round).map(|(_, at)| *at)
     }
 }
 
-/// The highest value that a majority reaches; `None` for an empty set.
+/// Highest value that a majority reaches, or `None` if there are none.
 pub(super) fn majority<T: Copy + Ord>(mut values: Vec<T>) -> Option<T> {
     values.sort_unstable_by(|a, b| b.cmp(a));
     values.get(values.len() / 2).copied()
--- a/agatetrestle/src/agreement/replica/lease.rs
+++ b/agatetrestle/src/agreement/replica/lease.rs
@@ -1,9 +1,9 @@
-//! Rounds, the leader's lease, and reads.
+//! Heartbeat rounds, the leader's lease, and linearizable reads.
 //!
-//! A round is a number that a leader sends with its messages and a follower echoes. A follower that
-//! answered a round refuses votes for an election timeout after it received it, so no other leader
-//! can be elected until that long after a majority's rounds were sent. The lease counts from the
-//! sending, never from the receipt of an answer, so a pause can only shorten it.
+//! A leader sends a round number with its messages, which a follower echoes. A follower that replied
+//! to a round grants no vote for an election timeout after it received the round, so no other leader can be
+//! elected until that long after a round was sent that a majority acknowledged. The lease starts when the
+//! round is sent, not when a reply arrives, so a pause can only shorten it.
 
 use std::time::Duration;
 
@@ -18,20 +18,20 @@
 use crate::ids::NodeId;
 
 impl Replica {
-    /// Whether no other node can have become leader as of `now`.
+    /// Whether the lease rules out that another node is leader as of `now`.
     #[must_use]
     pub fn lease_valid(&self, now: Timestamp) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        if leader.lease_forfeited && !faulty!(self, KeepLeaseAfterTransfer) {
+        if leader.lease_forfeited && !fault_injected!(self, KeepLeaseAfterTransfer) {
             return false;
         }
         let lease = self.cfg.election_timeout.saturating_sub(self.cfg.clock_drift);
         self.quorum_acked_at(now).is_some_and(|sent| now.since(sent) < lease)
     }
 
-    /// When the newest round was sent that a majority of voters has answered; own voice counts as of now.
+    /// When the latest round was sent that a majority of voters acknowledged. This node acknowledges as of `now`.
     pub(super) fn quorum_acked_at(&self, now: Timestamp) -> Option<Timestamp> {
         let Role::Leader(leader) = &self.role else {
             return None;
@@ -56,49 +56,48 @@
         majority(self.replicas().voters.iter().map(acked).collect()).unwrap_or(0)
     }
 
-    /// The other voters from which this leader has had no answer to what it sent within `span`; none on a replica
-    /// that does not lead.
+    /// Other voters that have not acknowledged any round sent within `span`; empty unless this replica is the leader.
     #[must_use]
     pub fn silent_voters(&self, now: Timestamp, span: Duration) -> Vec<NodeId> {
         let Role::Leader(leader) = &self.role else {
             return Vec::new();
         };
-        let heard = |voter: &NodeId| {
-            let answered = leader.progress.get(voter).and_then(|progress| progress.acked_at);
-            answered.unwrap_or(leader.since).max(leader.since)
+        let last_ack = |voter: &NodeId| {
+            let acked_at = leader.progress.get(voter).and_then(|progress| progress.acked_at);
+            acked_at.unwrap_or(leader.elected_at).max(leader.elected_at)
         };
         let others = self.replicas().voters.iter().filter(|voter| **voter != self.cfg.node);
-        others.filter(|voter| now.since(heard(voter)) > span).copied().collect()
+        others.filter(|voter| now.since(last_ack(voter)) > span).copied().collect()
     }
 
     pub(super) fn tick_leader(&mut self, now: Timestamp) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let acked = self.quorum_acked_at(now).unwrap_or_default().max(leader.since);
-        let due = now >= leader.next_heartbeat;
+        let acked = self.quorum_acked_at(now).unwrap_or_default().max(leader.elected_at);
+        let heartbeat_due = now >= leader.next_heartbeat;
         if now.since(acked) >= self.cfg.election_timeout {
             self.become_follower(self.term, None);
             self.reset_election_deadline(now);
             return;
         }
         self.expire_transfer(now);
-        if due {
-            self.begin_round(now);
-            self.retry_transfer();
+        if heartbeat_due {
+            self.start_round(now);
+            self.try_transfer();
         }
     }
 
-    /// Begins a round: a message to every peer, with what entries it lacks.
-    pub(super) fn begin_round(&mut self, now: Timestamp) {
+    /// Starts a round by sending every peer a heartbeat with the entries it lacks.
+    pub(super) fn start_round(&mut self, now: Timestamp) {
         let interval = self.cfg.leader_interval;
-        let kept = self.cfg.election_timeout * 2;
+        let retention = self.cfg.election_timeout * 2;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         leader.round += 1;
         leader.rounds.push_back((leader.round, now));
-        leader.rounds.retain(|(_, sent)| now.since(*sent) < kept);
+        leader.rounds.retain(|(_, sent)| now.since(*sent) < retention);
         leader.next_heartbeat = now + interval;
         let peers: Vec<NodeId> = leader.progress.keys().copied().collect();
         for peer in peers {
@@ -107,7 +106,7 @@
     }
 
     pub(super) fn acknowledge_round(&mut self, now: Timestamp, from: NodeId, round: u64) {
-        let on_receipt = faulty!(self, RenewLeaseOnReceipt);
+        let on_receipt = fault_injected!(self, RenewLeaseOnReceipt);
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
@@ -123,7 +122,7 @@
 
     pub(super) fn read(&mut self, now: Timestamp, ticket: Ticket) {
         let limit = self.cfg.max_in_flight;
-        let asked = self.quorum_acked_round();
+        let acked = self.quorum_acked_round();
         let Role::Leader(leader) = &mut self.role else {
             self.reject(ticket, Rejection::NotLeader(self.leader));
             return;
@@ -133,41 +132,41 @@
             return;
         }
         let round = leader.round + 1;
-        let under_way = leader.reads.iter().any(|read| read.round > asked);
+        let round_pending = leader.reads.iter().any(|read| read.round > acked);
         leader.reads.push(PendingRead { ticket, round });
-        self.serve_reads(now);
+        self.answer_reads(now);
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        if !under_way && !leader.reads.is_empty() {
-            self.begin_round(now);
-            self.serve_reads(now);
+        if !round_pending && !leader.reads.is_empty() {
+            self.start_round(now);
+            self.answer_reads(now);
         }
     }
 
-    /// Answers the reads that are proven, and begins the round that later ones wait for.
-    pub(super) fn serve_reads(&mut self, now: Timestamp) {
-        let own_term = self.has_committed_own_term() || faulty!(self, ReadBeforeOwnTerm);
-        let lease = self.lease_valid(now) || faulty!(self, ReadWithoutLease);
-        let proven = self.quorum_acked_round();
+    /// Answers the reads for which leadership is confirmed, and starts the round that the others need.
+    pub(super) fn answer_reads(&mut self, now: Timestamp) {
+        let own_term = self.has_committed_own_term() || fault_injected!(self, ReadBeforeOwnTerm);
+        let lease = self.lease_valid(now) || fault_injected!(self, ReadWithoutLease);
+        let acked = self.quorum_acked_round();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         if !own_term || leader.reads.is_empty() {
             return;
         }
-        let (ready, waiting) = leader.reads.drain(..).partition(|read| lease || read.round <= proven);
+        let (ready, waiting) = leader.reads.drain(..).partition(|read| lease || read.round <= acked);
         leader.reads = waiting;
-        let newest = leader.round;
-        let unasked = proven == newest && leader.reads.iter().any(|read| read.round > newest);
+        let latest = leader.round;
+        let needs_round = acked == latest && leader.reads.iter().any(|read| read.round > latest);
         let ready: Vec<PendingRead> = ready;
-        self.out.extend(ready.into_iter().map(|read| Output::ReadReady(read.ticket)));
-        if unasked {
-            self.begin_round(now);
+        self.outputs.extend(ready.into_iter().map(|read| Output::ReadReady(read.ticket)));
+        if needs_round {
+            self.start_round(now);
         }
     }
 
-    /// Whether an entry of this leader's own term is committed, and with it all that came before.
+    /// Whether this leader has committed an entry of its own term, and so all earlier entries.
     pub(super) fn has_committed_own_term(&self) -> bool {
         matches!(&self.role, Role::Leader(leader) if self.commit >= leader.first_index)
     }
--- a/agatetrestle/src/agreement/replica/mod.rs
+++ b/agatetrestle/src/agreement/replica/mod.rs
@@ -1,19 +1,19 @@
-//! One replica of a group as a pure state machine: no I/O, no clock, no hidden randomness.
+//! One replica of a group as a pure state machine, without I/O or clock and with seeded randomness.
 //!
 //! The algorithm is Raft with pre-vote and a leader lease (Ongaro, "Consensus: Bridging Theory and
-//! Practice", 2014, chapters 3, 4 and 6). Why each part is as it is stands in
+//! Practice", 2014, chapters 3, 4 and 6). The design is described in
 //! docs/design/001-replicated-log-and-groups.md.
 
 #[cfg(test)]
-macro_rules! faulty {
+macro_rules! fault_injected {
     ($replica:expr, $fault:ident) => {
-        $replica.has($crate::agreement::replica::fault::Fault::$fault)
+        $replica.has_fault($crate::agreement::replica::fault::Fault::$fault)
     };
 }
 
-/// Whether a deliberate fault is set; in a production build there are none.
+/// Whether a fault is injected, which only test builds can do.
 #[cfg(not(test))]
-macro_rules! faulty {
+macro_rules! fault_injected {
     ($replica:expr, $fault:ident) => {
         false
     };
@@ -49,61 +49,66 @@
 use crate::agreement::message::EntryKind;
 use crate::agreement::message::Message;
 use crate::agreement::message::Position;
-use crate::agreement::replica::leader::Leader;
+use crate::agreement::replica::leader::LeaderState;
 use crate::agreement::replica::log::Log;
 use crate::agreement::replica::log::ReplicaSets;
-use crate::agreement::replica::snapshot::Incoming;
+use crate::agreement::replica::snapshot::IncomingSnapshot;
 use crate::clock::Timestamp;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
 
-/// How a replica behaves; the same on all replicas of a group but for `node` and `seed`.
+/// Settings of a replica, the same on all replicas of a group except for `node` and `seed`.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// The group.
+    /// Group of the replica.
     pub group: GroupId,
-    /// This node.
+    /// Node that runs the replica.
     pub node: NodeId,
-    /// Time between two heartbeats of a leader.
+    /// Interval between a leader's heartbeats.
     pub leader_interval: Duration,
-    /// Silence after which a leader is held to be gone; timeouts are drawn from this to twice this.
+    /// Shortest election timeout; timeouts are drawn from between this and twice this.
     pub election_timeout: Duration,
-    /// Most that two clocks may drift apart within an election timeout; taken off the lease.
+    /// Maximum drift between two clocks within an election timeout, by which the lease is shortened.
     pub clock_drift: Duration,
-    /// Seed of the election timeouts.
+    /// Seed for drawing election timeouts.
     pub seed: u64,
-    /// Entries that may be uncommitted at once.
+    /// Maximum number of uncommitted entries, and of pending reads.
     pub max_in_flight: usize,
-    /// Age of the oldest command that waits to be committed beyond which no further one is taken.
+    /// New proposals are rejected while the oldest uncommitted one is older than this.
     pub max_commit_wait: Duration,
-    /// Payload bytes after which a batch or a chunk of a snapshot is full.
+    /// Maximum payload of a batch of entries or a chunk of a snapshot; a larger single entry is sent alone.
     pub max_batch_bytes: usize,
 }
 
-/// What the storage found at start.
+/// State of a replica as recovered by the storage.
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
     /// Term and vote.
     pub hard_state: HardState,
-    /// The newest snapshot.
+    /// Latest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The entries after it, without gaps.
+    /// Entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
 }
 
-/// What a replica is in its term.
 #[derive(Clone, Debug)]
 enum Role {
     Follower,
-    PreCandidate { votes: BTreeSet<NodeId> },
-    Candidate { votes: BTreeSet<NodeId>, gate: u64 },
-    Leader(Box<Leader>),
+    PreCandidate {
+        votes: BTreeSet<NodeId>,
+    },
+    /// The candidate's own vote counts once the write `vote_write` is synced.
+    Candidate {
+        votes: BTreeSet<NodeId>,
+        vote_write: u64,
+    },
+    Leader(Box<LeaderState>),
 }
 
 /// One replica of a group.
 ///
-/// After [`Input::WriteFailed`] it is silent for good, since its memory is ahead of its disk; the
-/// driver then builds a new one from what the storage holds.
+/// After [`Input::WriteFailed`] it sends nothing any more, since its memory is ahead of its disk. The
+/// driver must then create a new one from the stored state.
 #[derive(Clone, Debug)]
 pub struct Replica {
     cfg: ReplicaConfig,
@@ -112,50 +117,50 @@
     role: Role,
     leader: Option<NodeId>,
     log: Log,
-    sets: ReplicaSets,
-    /// Last index that the stored snapshot covers.
-    covered: u64,
-    incoming: Option<Incoming>,
+    memberships: ReplicaSets,
+    /// Last index included in the stored snapshot.
+    snapshot_index: u64,
+    incoming_snapshot: Option<IncomingSnapshot>,
     commit: u64,
     applied: u64,
-    /// When a live leader was last heard, or the start.
-    heard: Timestamp,
+    /// When a message from the current leader last arrived, or when the replica started.
+    leader_contact: Timestamp,
     election_deadline: Timestamp,
-    random: u64,
+    rng_state: u64,
     failed: bool,
-    /// Set on a replica that may once have voted and forgot it, until a leader counts it as a learner.
+    /// Set on a replica that may have lost its vote with its files, until a leader addresses it as a learner.
     joining: bool,
-    /// Set from then on until a leader counts it as a voter; see [`HardState::without_vote`].
+    /// Set from then on until a leader addresses it as a voter; see [`HardState::without_vote`].
     without_vote: Option<LearnerAdmission>,
-    /// The write that the present step gathers.
+    /// Write collected by the current step.
     write: Write,
-    sequence: u64,
-    written: u64,
-    /// Last index as of each write that is not yet acknowledged.
-    marks: VecDeque<(u64, u64)>,
-    durable: u64,
-    /// Messages that wait for the write with this number.
-    gated: VecDeque<(u64, Message)>,
-    reported: (u64, Option<NodeId>),
-    out: Vec<Output>,
+    write_sequence: u64,
+    synced_sequence: u64,
+    /// Sequence number and last log index of each unsynced write.
+    pending_writes: VecDeque<(u64, u64)>,
+    durable_index: u64,
+    /// Messages to send once the write with this sequence number is synced.
+    delayed_messages: VecDeque<(u64, Message)>,
+    reported_role: (u64, Option<NodeId>),
+    outputs: Vec<Output>,
     #[cfg(test)]
     fault: Option<fault::Fault>,
 }
 
 impl Replica {
-    /// A replica as it is after a start. A restored replica set goes before `initial`.
+    /// Creates a replica from its stored state; `initial` applies only without a stored membership.
     ///
-    /// It behaves as if it had just heard from a leader, since it may have promised one not to vote.
+    /// It behaves as if a leader had just contacted it, since its last reply before a restart may back a lease.
     #[must_use]
-    pub fn new(cfg: ReplicaConfig, initial: Replicas, restored: PersistentState, now: Timestamp) -> Self {
-        let PersistentState { hard_state, snapshot, entries } = restored;
+    pub fn new(cfg: ReplicaConfig, initial: Replicas, stored: PersistentState, now: Timestamp) -> Self {
+        let PersistentState { hard_state, snapshot, entries } = stored;
         let base = snapshot.as_ref().map_or(Position::default(), |snapshot| snapshot.position);
         let replicas = snapshot.as_ref().map_or(initial, |snapshot| snapshot.replicas.clone());
-        let mut sets = ReplicaSets::new(base.index, replicas);
+        let mut memberships = ReplicaSets::new(base.index, replicas);
         let mut failed = false;
         for entry in entries.iter().filter(|entry| entry.kind == EntryKind::Replicas) {
             match coding::decode_replicas(&entry.payload) {
-                Ok(replicas) => sets.push(entry.position.index, replicas),
+                Ok(replicas) => memberships.push(entry.position.index, replicas),
                 Err(_) => failed = true,
             }
         }
@@ -165,26 +170,26 @@
             vote: hard_state.vote,
             role: Role::Follower,
             leader: None,
-            durable: log.last().index,
+            durable_index: log.last().index,
             log,
-            sets,
-            covered: base.index,
-            incoming: None,
+            memberships,
+            snapshot_index: base.index,
+            incoming_snapshot: None,
             commit: base.index,
             applied: base.index,
-            heard: now,
+            leader_contact: now,
             election_deadline: now,
-            random: cfg.seed ^ cfg.node.0.rotate_left(32) ^ hard_state.term,
+            rng_state: cfg.seed ^ cfg.node.0.rotate_left(32) ^ hard_state.term,
             failed,
             joining: false,
             without_vote: hard_state.without_vote,
             write: Write::default(),
-            sequence: 0,
-            written: 0,
-            marks: VecDeque::new(),
-            gated: VecDeque::new(),
-            reported: (hard_state.term, None),
-            out: Vec::new(),
+            write_sequence: 0,
+            synced_sequence: 0,
+            pending_writes: VecDeque::new(),
+            delayed_messages: VecDeque::new(),
+            reported_role: (hard_state.term, None),
+            outputs: Vec::new(),
             cfg,
             #[cfg(test)]
             fault: None,
@@ -193,11 +198,11 @@
         replica
     }
 
-    /// A replica that starts without what it once stored, if anything, and so must not be counted on.
+    /// Creates a replica without stored state, which may have voted before it lost its files.
     ///
-    /// It ignores every message until a leader addresses it as a learner. A leader that still counts
-    /// it as a voter, from before it lost its files, thus finds it silent, and its forgotten votes do no harm.
-    /// It then follows without a vote until a leader counts it as a voter.
+    /// It ignores every message until a leader addresses it as a learner, so that a leader that still lists it as
+    /// a voter gets no reply based on lost votes or entries. It then has no vote until a leader addresses it as a
+    /// voter.
     #[must_use]
     pub fn joining(cfg: ReplicaConfig, now: Timestamp) -> Self {
         let mut replica = Self::new(cfg, Replicas::default(), PersistentState::default(), now);
@@ -205,14 +210,14 @@
         replica
     }
 
-    /// Whether the replica waits to be counted as a learner.
+    /// Whether the replica still waits for a leader to address it as a learner.
     #[must_use]
     pub fn is_joining(&self) -> bool {
         self.joining
     }
 
-    /// Whether a message may be acted on; a joining replica waits for one that counts it as a learner.
-    fn admits(&mut self, term: u64, body: &Body) -> bool {
+    /// Whether to process a message; a joining replica ignores all until one addresses it as a learner.
+    fn join_if_admitted(&mut self, term: u64, body: &Body) -> bool {
         if self.joining
             && let Body::Append { learner: true, round, .. } | Body::Snapshot { learner: true, round, .. } =
                 body
@@ -223,9 +228,9 @@
         !self.joining
     }
 
-    /// Notes that a leader counts this replica as a voter, which it does only once the replica's log
-    /// holds all that was committed. A message from before the admission is of the lost replica's time.
-    fn note_standing(&mut self, body: &Body) {
+    /// Restores the vote once a leader addresses this replica as a voter, which it does only after the replica's log
+    /// holds all committed entries. A message from before the admission was meant for the replica that lost its files.
+    fn regain_vote(&mut self, body: &Body) {
         if let Some(admission) = self.without_vote
             && let Body::Append { learner: false, round, .. } | Body::Snapshot { learner: false, round, .. } =
                 body
@@ -236,14 +241,14 @@
         }
     }
 
-    /// Takes one input and says what to do, in order.
+    /// Processes an input and returns the actions to carry out, in order.
     ///
     /// `now` must be read after the input was received, else a pause between the two could make an
-    /// old lease look valid.
+    /// expired lease look valid.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         if self.failed {
-            self.refuse(&input);
-            return std::mem::take(&mut self.out);
+            self.reject_after_failure(&input);
+            return std::mem::take(&mut self.outputs);
         }
         match input {
             Input::Tick => self.tick(now),
@@ -252,41 +257,40 @@
             Input::Read(ticket) => self.read(now, ticket),
             Input::Written(sequence) => self.acknowledge_writes(now, sequence),
             Input::WriteFailed => self.fail(),
-            Input::SnapshotTaken { position } => self.take_snapshot(position),
-            Input::SnapshotEncoded { position, data } => self.send_coded(position, data),
+            Input::SnapshotTaken { position } => self.compact_to(position),
+            Input::SnapshotEncoded { position, data } => self.send_encoded_snapshot(position, data),
             Input::ChangeReplicas { ticket, change } => self.change_replicas(now, ticket, change),
-            Input::TransferLeadership => self.hand_over(now),
+            Input::TransferLeadership => self.transfer_leadership(now),
         }
         self.flush_write();
         self.report_role();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// How the replica behaves.
     #[cfg(test)]
     pub(super) fn config(&self) -> &ReplicaConfig {
         &self.cfg
     }
 
-    /// The node that holds this replica.
+    /// Node that runs the replica.
     #[must_use]
     pub fn node(&self) -> NodeId {
         self.cfg.node
     }
 
-    /// Newest term seen.
+    /// Latest term seen.
     #[must_use]
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// The leader of this term if known.
+    /// Leader of the current term, if known.
     #[must_use]
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// Whether this replica leads.
+    /// Whether this replica is the leader.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
@@ -298,16 +302,16 @@
         self.commit
     }
 
-    /// The last entry of the log, durable or not.
+    /// Position of the last log entry, durable or not.
     #[must_use]
     pub fn last_position(&self) -> Position {
         self.log.last()
     }
 
-    /// Who takes part; an uncommitted set counts already.
+    /// Current membership, which takes effect before it is committed.
     #[must_use]
     pub fn replicas(&self) -> &Replicas {
-        self.sets.current()
+        self.memberships.current()
     }
 
     fn receive(&mut self, now: Timestamp, message: Message) {
@@ -315,17 +319,17 @@
             return;
         }
         let Message { from, term, body, .. } = message;
-        if !self.admits(term, &body) {
+        if !self.join_if_admitted(term, &body) {
             return;
         }
         if term < self.term {
-            self.answer_older_term(from, &body);
+            self.reply_to_stale_term(from, &body);
             return;
         }
         if term > self.term && !self.adopt_term(now, from, term, &body) {
             return;
         }
-        self.note_standing(&body);
+        self.regain_vote(&body);
         match body {
             Body::PreVote { last } => self.receive_pre_vote(now, from, term, last),
             Body::PreVoteReply { granted } => self.receive_pre_vote_reply(now, from, term, granted),
@@ -343,7 +347,7 @@
             Body::SnapshotReply { position, received, round } => {
                 self.receive_snapshot_reply(now, from, position, received, round);
             }
-            Body::TimeoutNow => self.receive_take_over(now, from),
+            Body::TimeoutNow => self.receive_timeout_now(now, from),
         }
     }
 
@@ -353,15 +357,15 @@
 
     fn send_in_term(&mut self, to: NodeId, term: u64, body: Body) {
         let message = Message { group: self.cfg.group, from: self.cfg.node, to, term, body };
-        self.out.push(Output::Send(message));
+        self.outputs.push(Output::Send(message));
     }
 
     fn reject(&mut self, ticket: Ticket, reason: Rejection) {
-        self.out.push(Output::Reject { ticket, reason });
+        self.outputs.push(Output::Reject { ticket, reason });
     }
 
-    /// Answers the inputs of a failed replica that wait for an outcome.
-    fn refuse(&mut self, input: &Input) {
+    /// Rejects the requests to a failed replica and ignores all other inputs.
+    fn reject_after_failure(&mut self, input: &Input) {
         match input {
             Input::Propose { ticket, .. } | Input::Read(ticket) | Input::ChangeReplicas { ticket, .. } => {
                 self.reject(*ticket, Rejection::NotLeader(None));
@@ -374,14 +378,14 @@
         self.become_follower(self.term, None);
         self.failed = true;
         self.write = Write::default();
-        self.gated.clear();
+        self.delayed_messages.clear();
     }
 
     fn report_role(&mut self) {
         let role = (self.term, self.leader);
-        if role != self.reported {
-            self.reported = role;
-            self.out.push(Output::Role { term: role.0, leader: role.1 });
+        if role != self.reported_role {
+            self.reported_role = role;
+            self.outputs.push(Output::Role { term: role.0, leader: role.1 });
         }
     }
 }
--- a/agatetrestle/src/agreement/replica/replication.rs
+++ b/agatetrestle/src/agreement/replica/replication.rs
@@ -1,4 +1,4 @@
-//! Leading: entries out, acknowledgements in, commit. Following: entries in, log matching.
+//! Log replication: sending, acknowledging and committing entries on the leader, matching and appending on followers.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 use crate::agreement::message::Position;
 use crate::agreement::replica::Replica;
 use crate::agreement::replica::Role;
-use crate::agreement::replica::leader::APPENDS_UNDER_WAY;
-use crate::agreement::replica::leader::Leader;
+use crate::agreement::replica::leader::LeaderState;
+use crate::agreement::replica::leader::MAX_IN_FLIGHT_APPENDS;
 use crate::agreement::replica::leader::Progress;
-use crate::agreement::replica::leader::Stage;
+use crate::agreement::replica::leader::ProgressState;
 use crate::agreement::replica::leader::majority;
 use crate::clock::Timestamp;
 use crate::ids::NodeId;
@@ -23,18 +23,18 @@
 impl Replica {
     pub(super) fn become_leader(&mut self, now: Timestamp) {
         let first_index = self.log.last().index + 1;
-        self.role = Role::Leader(Box::new(Leader::new(now, first_index)));
+        self.role = Role::Leader(Box::new(LeaderState::new(now, first_index)));
         self.leader = Some(self.cfg.node);
-        self.append_own(EntryKind::NoOperation, Arc::from([]));
+        self.append_as_leader(EntryKind::NoOperation, Arc::from([]));
         self.add_peers();
-        self.begin_round(now);
+        self.start_round(now);
         self.advance_commit(now);
     }
 
-    /// Begins to keep the progress of every other node that takes part, from the next round on.
+    /// Tracks the progress of members that are not yet tracked, from the next round on.
     pub(super) fn add_peers(&mut self) {
         let next = self.log.last().index + 1;
-        let replicas = self.sets.current();
+        let replicas = self.memberships.current();
         let node = self.cfg.node;
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -45,25 +45,25 @@
         }
     }
 
-    pub(super) fn append_own(&mut self, kind: EntryKind, payload: Arc<[u8]>) -> u64 {
+    pub(super) fn append_as_leader(&mut self, kind: EntryKind, payload: Arc<[u8]>) -> u64 {
         let index = self.log.last().index + 1;
         self.append(Entry { position: Position { term: self.term, index }, kind, payload });
         index
     }
 
     pub(super) fn propose(&mut self, now: Timestamp, ticket: Ticket, payload: Arc<[u8]>) {
-        if let Err(reason) = self.accepts_proposals(now) {
+        if let Err(reason) = self.check_accepts_proposals(now) {
             self.reject(ticket, reason);
             return;
         }
-        let index = self.append_own(EntryKind::Command, payload);
-        self.expect_outcome(now, index, ticket);
+        let index = self.append_as_leader(EntryKind::Command, payload);
+        self.track_outcome(now, index, ticket);
         self.replicate();
     }
 
-    /// Whether one more entry may wait here. What would wait for longer than its caller does is refused, not queued: a
-    /// leader that is late stays late as long as it works off what nobody waits for any more.
-    pub(super) fn accepts_proposals(&self, now: Timestamp) -> Result<(), Rejection> {
+    /// Checks whether a proposal can be appended. While the oldest one waits for too long, new ones are rejected, since
+    /// an overloaded leader would otherwise keep working on proposals whose callers have given up.
+    pub(super) fn check_accepts_proposals(&self, now: Timestamp) -> Result<(), Rejection> {
         let Role::Leader(leader) = &self.role else {
             return Err(Rejection::NotLeader(self.leader));
         };
@@ -71,21 +71,21 @@
             return Err(Rejection::NotLeader(None));
         }
         let in_flight = usize::try_from(self.log.last().index - self.commit).unwrap_or(usize::MAX);
-        let oldest = leader.tickets.first_key_value().map(|(_, (_, since))| *since);
-        let late = oldest.is_some_and(|since| now.since(since) > self.cfg.max_commit_wait);
-        if late || in_flight >= self.cfg.max_in_flight {
+        let oldest = leader.tickets.first_key_value().map(|(_, (_, proposed))| *proposed);
+        let overloaded = oldest.is_some_and(|proposed| now.since(proposed) > self.cfg.max_commit_wait);
+        if overloaded || in_flight >= self.cfg.max_in_flight {
             return Err(Rejection::Busy);
         }
         Ok(())
     }
 
-    pub(super) fn expect_outcome(&mut self, now: Timestamp, index: u64, ticket: Ticket) {
+    pub(super) fn track_outcome(&mut self, now: Timestamp, index: u64, ticket: Ticket) {
         if let Role::Leader(leader) = &mut self.role {
             leader.tickets.insert(index, (ticket, now));
         }
     }
 
-    /// Sends new entries to every peer that can take them at once.
+    /// Sends new entries to every peer that is ready for them.
     pub(super) fn replicate(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Sends a message to a peer whatever is under way, since earlier ones may be lost.
+    /// Sends a message to a peer even if earlier ones are unacknowledged, since those may be lost.
     pub(super) fn send_heartbeat(&mut self, peer: NodeId) {
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -104,10 +104,10 @@
         let Some(progress) = leader.progress.get_mut(&peer) else {
             return;
         };
-        match &mut progress.stage {
-            Stage::Probe { waiting } => *waiting = false,
-            Stage::Replicate { under_way } => *under_way = 0,
-            Stage::Snapshot { .. } => {
+        match &mut progress.state {
+            ProgressState::Probe { waiting } => *waiting = false,
+            ProgressState::Replicate { in_flight } => *in_flight = 0,
+            ProgressState::Snapshot { .. } => {
                 self.send_chunk(peer);
                 return;
             }
@@ -115,7 +115,7 @@
         self.send_append(peer);
     }
 
-    /// Sends what entries a peer lacks, unless enough is under way to it.
+    /// Sends the entries that a peer lacks, unless too many appends are unacknowledged.
     pub(super) fn send_entries(&mut self, peer: NodeId) {
         let last = self.log.last().index;
         let Role::Leader(leader) = &self.role else {
@@ -124,10 +124,10 @@
         let Some(progress) = leader.progress.get(&peer) else {
             return;
         };
-        let ready = match progress.stage {
-            Stage::Probe { waiting } => !waiting,
-            Stage::Replicate { under_way } => under_way < APPENDS_UNDER_WAY,
-            Stage::Snapshot { .. } => false,
+        let ready = match progress.state {
+            ProgressState::Probe { waiting } => !waiting,
+            ProgressState::Replicate { in_flight } => in_flight < MAX_IN_FLIGHT_APPENDS,
+            ProgressState::Snapshot { .. } => false,
         };
         if ready && progress.next <= last {
             self.send_append(peer);
@@ -143,16 +143,16 @@
         };
         let previous = progress.next - 1;
         let Some(term) = self.log.term_at(previous) else {
-            self.begin_snapshot(peer);
+            self.start_snapshot(peer);
             return;
         };
         let entries = self.log.batch(progress.next, self.cfg.max_batch_bytes);
-        match &mut progress.stage {
-            Stage::Probe { waiting } => *waiting = true,
-            Stage::Replicate { under_way } if !entries.is_empty() => *under_way += 1,
+        match &mut progress.state {
+            ProgressState::Probe { waiting } => *waiting = true,
+            ProgressState::Replicate { in_flight } if !entries.is_empty() => *in_flight += 1,
             _ => {}
         }
-        if matches!(progress.stage, Stage::Replicate { .. }) {
+        if matches!(progress.state, ProgressState::Replicate { .. }) {
             progress.next += entries.len() as u64;
         }
         let previous = Position { term, index: previous };
@@ -170,7 +170,7 @@
         matched: u64,
         round: u64,
     ) {
-        if !matches!(&self.role, Role::Leader(leader) if leader.knows(from, round)) {
+        if !matches!(&self.role, Role::Leader(leader) if leader.is_current_reply(from, round)) {
             return;
         }
         self.acknowledge_round(now, from, round);
@@ -182,43 +182,44 @@
             return;
         };
         if accepted {
-            progress.accept(matched.min(last));
-        } else if !matches!(progress.stage, Stage::Snapshot { .. }) {
+            progress.record_match(matched.min(last));
+        } else if !matches!(progress.state, ProgressState::Snapshot { .. }) {
             progress.next = matched.min(last + 1).max(progress.matched + 1);
-            progress.stage = Stage::Probe { waiting: false };
+            progress.state = ProgressState::Probe { waiting: false };
         }
         self.advance_commit(now);
         self.send_entries(from);
-        self.retry_transfer();
+        self.try_transfer();
     }
 
-    /// Commits what a majority has synced, if it is of this leader's own term.
+    /// Commits entries that a majority has synced if the last is of this leader's own term.
     pub(super) fn advance_commit(&mut self, now: Timestamp) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let own = if faulty!(self, CountOwnUnsynced) { self.log.last().index } else { self.durable };
+        let own_match =
+            if fault_injected!(self, CountOwnUnsynced) { self.log.last().index } else { self.durable_index };
         let matched = |voter: &NodeId| match leader.progress.get(voter) {
-            _ if *voter == self.cfg.node => own,
+            _ if *voter == self.cfg.node => own_match,
             Some(progress) => progress.matched,
             None => 0,
         };
         let voters = &self.replicas().voters;
-        let mut all: Vec<u64> = voters.iter().map(matched).collect();
-        if faulty!(self, CommitByMinority) {
-            all.push(u64::MAX);
+        let mut indexes: Vec<u64> = voters.iter().map(matched).collect();
+        if fault_injected!(self, CommitByMinority) {
+            indexes.push(u64::MAX);
         }
-        let index = majority(all).unwrap_or(0).min(self.log.last().index);
-        let own_term = self.log.term_at(index) == Some(self.term) || faulty!(self, CommitOlderTerm);
+        let index = majority(indexes).unwrap_or(0).min(self.log.last().index);
+        let own_term = self.log.term_at(index) == Some(self.term) || fault_injected!(self, CommitOlderTerm);
         if index > self.commit && own_term {
             self.commit = index;
             self.apply_committed();
-            self.finish_change(now);
+            self.complete_change(now);
         }
-        self.serve_reads(now);
+        self.answer_reads(now);
     }
 
-    /// Hands out what became known to be committed.
+    /// Outputs the newly committed entries.
     pub(super) fn apply_committed(&mut self) {
         while self.applied < self.commit
             && let Some(entry) = self.log.get(self.applied + 1).cloned()
@@ -235,11 +236,11 @@
     fn apply_entry(&mut self, entry: Entry, ticket: Option<Ticket>) {
         let Entry { position, kind, payload } = entry;
         match kind {
-            EntryKind::Command => self.out.push(Output::Apply { position, payload, ticket }),
+            EntryKind::Command => self.outputs.push(Output::Apply { position, payload, ticket }),
             EntryKind::NoOperation => {}
             EntryKind::Replicas => {
-                let replicas = self.sets.at(position.index).clone();
-                self.out.push(Output::Replicas { ticket, replicas });
+                let replicas = self.memberships.at(position.index).clone();
+                self.outputs.push(Output::Replicas { ticket, replicas });
             }
         }
     }
@@ -253,9 +254,9 @@
         round: u64,
         entries: Vec<Entry>,
     ) {
-        self.follow(now, from);
+        self.follow_leader(now, from);
         if !self.log_matches(previous) {
-            let reply = Body::AppendReply { accepted: false, matched: self.retry_index(previous), round };
+            let reply = Body::AppendReply { accepted: false, matched: self.conflict_index(previous), round };
             self.send_when_durable(from, reply);
             return;
         }
@@ -267,23 +268,23 @@
         self.send_when_durable(from, Body::AppendReply { accepted: true, matched, round });
     }
 
-    /// Notes a sign of life of the leader of this term.
-    pub(super) fn follow(&mut self, now: Timestamp, from: NodeId) {
+    /// Follows the leader of this term and restarts the election timeout.
+    pub(super) fn follow_leader(&mut self, now: Timestamp, from: NodeId) {
         self.become_follower(self.term, Some(from));
-        self.heard = now;
+        self.leader_contact = now;
         self.reset_election_deadline(now);
     }
 
-    /// Whether the log up to `previous` is the leader's; what a snapshot covers always is.
+    /// Whether the log matches the leader's up to `previous`; compacted entries always match.
     fn log_matches(&self, previous: Position) -> bool {
-        let skips = faulty!(self, SkipLogMatching) && previous.index <= self.log.last().index;
+        let skips = fault_injected!(self, SkipLogMatching) && previous.index <= self.log.last().index;
         skips
             || previous.index < self.log.base().index
             || self.log.term_at(previous.index) == Some(previous.term)
     }
 
-    /// Where the leader should try next after a mismatch: before the run of the conflicting term.
-    fn retry_index(&self, previous: Position) -> u64 {
+    /// Index from which the leader should retry after a mismatch: the first of the conflicting term.
+    fn conflict_index(&self, previous: Position) -> u64 {
         let last = self.log.last().index;
         if previous.index > last {
             return last + 1;
@@ -291,8 +292,7 @@
         self.log.first_of_term(previous.index).max(self.commit + 1)
     }
 
-    /// Appends what is new and returns the last index that matches; `None` for a message that no
-    /// leader of this term can have sent.
+    /// Appends new entries and returns the last index that matches, or `None` for an invalid message.
     fn append_received(&mut self, previous: u64, entries: Vec<Entry>) -> Option<u64> {
         let mut index = previous;
         for entry in entries {
@@ -316,23 +316,23 @@
 }
 
 impl Progress {
-    /// Notes that the peer's log is durable and matches up to an index.
-    pub(super) fn accept(&mut self, matched: u64) {
+    /// Records that the peer's log is durable and matches up to an index.
+    pub(super) fn record_match(&mut self, matched: u64) {
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched + 1);
-        let caught_up = match &mut self.stage {
-            Stage::Probe { .. } => true,
-            Stage::Replicate { under_way } => {
-                *under_way = under_way.saturating_sub(1);
+        let caught_up = match &mut self.state {
+            ProgressState::Probe { .. } => true,
+            ProgressState::Replicate { in_flight } => {
+                *in_flight = in_flight.saturating_sub(1);
                 false
             }
-            Stage::Snapshot { outgoing, .. } => {
+            ProgressState::Snapshot { outgoing, .. } => {
                 outgoing.as_ref().is_some_and(|outgoing| self.matched >= outgoing.position().index)
             }
         };
         if caught_up {
             self.next = self.matched + 1;
-            self.stage = Stage::Replicate { under_way: 0 };
+            self.state = ProgressState::Replicate { in_flight: 0 };
         }
     }
 }
--- a/agatetrestle/src/agreement/replica/snapshot.rs
+++ b/agatetrestle/src/agreement/replica/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: compaction of the own log, and sending one in chunks to a replica that lags too far.
+//! Log compaction, and sending snapshots in chunks to replicas that need compacted entries.
 
 use std::sync::Arc;
 
@@ -11,97 +11,95 @@
 use crate::agreement::message::Position;
 use crate::agreement::replica::Replica;
 use crate::agreement::replica::Role;
-use crate::agreement::replica::leader::Stage;
+use crate::agreement::replica::leader::ProgressState;
 use crate::clock::Timestamp;
 use crate::ids::NodeId;
 
-/// Entries kept before a snapshot, so that a replica that lags a little needs no snapshot.
-const KEPT_ENTRIES: u64 = 1_024;
+/// Entries retained before a snapshot, so that a replica that lags a little does not need the snapshot.
+const RETAINED_ENTRIES: u64 = 1_024;
 
-/// A snapshot that is being received.
 #[derive(Clone, Debug)]
-pub(super) struct Incoming {
+pub(super) struct IncomingSnapshot {
     position: Position,
     bytes: Vec<u8>,
 }
 
-/// A snapshot that is being sent; all peers that lag share it.
+/// A snapshot that is being sent, shared by all peers that need one.
 #[derive(Clone, Debug)]
-pub(super) struct Outgoing {
-    /// The last entry that it covers.
+pub(super) struct OutgoingSnapshot {
     position: Position,
-    head: Arc<[u8]>,
+    header: Arc<[u8]>,
     data: Bytes,
 }
 
-impl Outgoing {
+impl OutgoingSnapshot {
     pub(super) fn position(&self) -> Position {
         self.position
     }
 
     fn len(&self) -> usize {
-        self.head.len() + self.data.len()
+        self.header.len() + self.data.len()
     }
 
-    /// The piece from an offset on, not longer than `most`, and of the head or the data alone.
-    fn piece(&self, offset: usize, most: usize) -> Arc<[u8]> {
-        let rest = match offset.checked_sub(self.head.len()) {
+    /// Bytes from an offset on, at most `max_bytes` (at least 1) and of either the header or the data.
+    fn chunk(&self, offset: usize, max_bytes: usize) -> Arc<[u8]> {
+        let rest = match offset.checked_sub(self.header.len()) {
             Some(offset) => &self.data[offset.min(self.data.len())..],
-            None => &self.head[offset..],
+            None => &self.header[offset..],
         };
-        rest[..rest.len().min(most.max(1))].into()
+        rest[..rest.len().min(max_bytes.max(1))].into()
     }
 }
 
 impl Replica {
-    /// Drops the entries that a snapshot covers, which the driver has stored.
-    pub(super) fn take_snapshot(&mut self, position: Position) {
+    /// Removes the entries included in a snapshot that the driver has stored.
+    pub(super) fn compact_to(&mut self, position: Position) {
         let held = self.log.term_at(position.index) == Some(position.term);
-        if position.index <= self.covered || position.index > self.applied || !held {
+        if position.index <= self.snapshot_index || position.index > self.applied || !held {
             return;
         }
-        self.covered = position.index;
-        self.sets.compact(position.index);
-        self.log.compact(position.index.saturating_sub(KEPT_ENTRIES));
+        self.snapshot_index = position.index;
+        self.memberships.compact(position.index);
+        self.log.compact(position.index.saturating_sub(RETAINED_ENTRIES));
     }
 
-    /// Begins to send a snapshot to a peer: the one that others are getting, or one that the driver is asked for.
-    pub(super) fn begin_snapshot(&mut self, peer: NodeId) {
+    /// Starts to send a snapshot to a peer: the one already being sent to others, or a new one from the driver.
+    pub(super) fn start_snapshot(&mut self, peer: NodeId) {
         let base = self.log.base().index;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let under_way = leader.progress.values().find_map(|progress| match &progress.stage {
-            Stage::Snapshot { outgoing: Some(outgoing), .. } => Some(outgoing.clone()),
+        let shared = leader.progress.values().find_map(|progress| match &progress.state {
+            ProgressState::Snapshot { outgoing: Some(outgoing), .. } => Some(outgoing.clone()),
             _ => None,
         });
         let Some(progress) = leader.progress.get_mut(&peer) else {
             return;
         };
-        let outgoing = under_way.filter(|outgoing| outgoing.position.index >= base);
+        let outgoing = shared.filter(|outgoing| outgoing.position.index >= base);
         let ready = outgoing.is_some();
-        progress.stage = Stage::Snapshot { outgoing, offset: 0 };
+        progress.state = ProgressState::Snapshot { outgoing, offset: 0 };
         if ready {
             self.send_chunk(peer);
         } else {
-            self.out.push(Output::EncodeSnapshot);
+            self.outputs.push(Output::EncodeSnapshot);
         }
     }
 
-    /// Sends the snapshot that the driver coded to all peers that wait for one.
-    pub(super) fn send_coded(&mut self, position: Position, data: Bytes) {
+    /// Sends the snapshot encoded by the driver to all peers that wait for one.
+    pub(super) fn send_encoded_snapshot(&mut self, position: Position, data: Bytes) {
         let usable = position.index <= self.applied && position.index >= self.log.base().index;
-        let head = coding::snapshot_header(self.sets.at(position.index)).into();
-        let coded = Outgoing { position, head, data };
+        let header = coding::snapshot_header(self.memberships.at(position.index)).into();
+        let snapshot = OutgoingSnapshot { position, header, data };
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let mut waiting = Vec::new();
         for (peer, progress) in &mut leader.progress {
-            if let Stage::Snapshot { outgoing: outgoing @ None, .. } = &mut progress.stage
+            if let ProgressState::Snapshot { outgoing: outgoing @ None, .. } = &mut progress.state
                 && usable
             {
-                *outgoing = Some(coded.clone());
+                *outgoing = Some(snapshot.clone());
                 waiting.push(*peer);
             }
         }
@@ -110,21 +108,21 @@
         }
     }
 
-    /// Sends the next piece again, or asks for the snapshot again if the driver could not make one.
+    /// Sends the next chunk, again if it was lost, or requests the snapshot again if the driver has not provided one.
     pub(super) fn send_chunk(&mut self, peer: NodeId) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        let Some(Stage::Snapshot { outgoing, offset }) =
-            leader.progress.get(&peer).map(|progress| &progress.stage)
+        let Some(ProgressState::Snapshot { outgoing, offset }) =
+            leader.progress.get(&peer).map(|progress| &progress.state)
         else {
             return;
         };
         let Some(outgoing) = outgoing else {
-            self.out.push(Output::EncodeSnapshot);
+            self.outputs.push(Output::EncodeSnapshot);
             return;
         };
-        let chunk = outgoing.piece(*offset, self.cfg.max_batch_bytes);
+        let chunk = outgoing.chunk(*offset, self.cfg.max_batch_bytes);
         let body = Body::Snapshot {
             position: outgoing.position,
             offset: *offset as u64,
@@ -144,7 +142,7 @@
         received: u64,
         round: u64,
     ) {
-        if !matches!(&self.role, Role::Leader(leader) if leader.knows(from, round)) {
+        if !matches!(&self.role, Role::Leader(leader) if leader.is_current_reply(from, round)) {
             return;
         }
         self.acknowledge_round(now, from, round);
@@ -152,7 +150,7 @@
             return;
         };
         if let Some(progress) = leader.progress.get_mut(&from)
-            && let Stage::Snapshot { outgoing: Some(outgoing), offset } = &mut progress.stage
+            && let ProgressState::Snapshot { outgoing: Some(outgoing), offset } = &mut progress.state
             && outgoing.position == position
             && let Ok(received) = usize::try_from(received)
             && received < outgoing.len()
@@ -175,9 +173,9 @@
         last: bool,
         round: u64,
     ) {
-        self.follow(now, from);
+        self.follow_leader(now, from);
         if position.index <= self.commit {
-            self.accept_committed(from, round);
+            self.acknowledge_committed(from, round);
             return;
         }
         let bytes = self.incoming_bytes(position);
@@ -192,50 +190,50 @@
         self.send_when_durable(from, Body::SnapshotReply { position, received, round });
     }
 
-    /// Says that the log matches the leader's up to what is committed.
-    fn accept_committed(&mut self, from: NodeId, round: u64) {
+    /// Acknowledges the log up to the commit index.
+    fn acknowledge_committed(&mut self, from: NodeId, round: u64) {
         let reply = Body::AppendReply { accepted: true, matched: self.commit, round };
         self.send_when_durable(from, reply);
     }
 
     fn incoming_bytes(&mut self, position: Position) -> &mut Vec<u8> {
-        let fresh = || Incoming { position, bytes: Vec::new() };
-        let incoming = self.incoming.get_or_insert_with(fresh);
+        let empty = || IncomingSnapshot { position, bytes: Vec::new() };
+        let incoming = self.incoming_snapshot.get_or_insert_with(empty);
         if incoming.position != position {
-            *incoming = fresh();
+            *incoming = empty();
         }
         &mut incoming.bytes
     }
 
     fn finish_snapshot(&mut self, from: NodeId, position: Position, round: u64) {
-        let Some(incoming) = self.incoming.take() else {
+        let Some(incoming) = self.incoming_snapshot.take() else {
             return;
         };
         if let Ok(snapshot) = coding::decode_snapshot(position, &incoming.bytes.into()) {
             self.install(snapshot);
-            self.accept_committed(from, round);
+            self.acknowledge_committed(from, round);
         }
     }
 
-    /// Replaces the state; entries after the snapshot stay only if the log agrees with it.
+    /// Replaces the state by a snapshot; entries after it stay only if the log matches it.
     fn install(&mut self, snapshot: Snapshot) {
         let position = snapshot.position;
-        let agrees = self.log.term_at(position.index) == Some(position.term);
-        if agrees {
+        let matches = self.log.term_at(position.index) == Some(position.term);
+        if matches {
             self.log.compact(position.index);
         } else {
-            self.truncate_all_from(position.index);
+            self.truncate_if_held(position.index);
             self.log.reset(position);
         }
-        self.sets.install(position.index, snapshot.replicas.clone());
+        self.memberships.install(position.index, snapshot.replicas.clone());
         self.commit = position.index;
         self.applied = position.index;
         self.write.snapshot = Some(snapshot.clone());
-        self.covered = position.index;
-        self.out.push(Output::Restore(snapshot));
+        self.snapshot_index = position.index;
+        self.outputs.push(Output::Restore(snapshot));
     }
 
-    fn truncate_all_from(&mut self, index: u64) {
+    fn truncate_if_held(&mut self, index: u64) {
         if self.log.last().index >= index {
             self.truncate(index);
         }
--- a/agatetrestle/src/agreement/replica/writes.rs
+++ b/agatetrestle/src/agreement/replica/writes.rs
@@ -1,4 +1,4 @@
-//! What must be durable before it may be acted on.
+//! Durable writes, and messages that wait for them.
 
 use crate::agreement::HardState;
 use crate::agreement::Output;
@@ -13,20 +13,20 @@
 use crate::ids::NodeId;
 
 impl Replica {
-    /// The number of the write that holds everything decided so far.
-    pub(super) fn gate(&self) -> u64 {
-        if write_is_empty(&self.write) { self.sequence } else { self.sequence + 1 }
+    /// Sequence number of the write after which all changes so far are durable.
+    pub(super) fn required_write(&self) -> u64 {
+        if write_is_empty(&self.write) { self.write_sequence } else { self.write_sequence + 1 }
     }
 
-    /// Sends a message once everything decided so far is durable.
+    /// Sends a message once all changes so far are durable.
     pub(super) fn send_when_durable(&mut self, to: NodeId, body: Body) {
-        let gate = self.gate();
-        if gate <= self.written || faulty!(self, AcknowledgeBeforeSync) {
+        let required = self.required_write();
+        if required <= self.synced_sequence || fault_injected!(self, AcknowledgeBeforeSync) {
             self.send(to, body);
             return;
         }
         let message = Message { group: self.cfg.group, from: self.cfg.node, to, term: self.term, body };
-        self.gated.push_back((gate, message));
+        self.delayed_messages.push_back((required, message));
     }
 
     pub(super) fn save_hard_state(&mut self) {
@@ -38,50 +38,50 @@
         if entry.kind == EntryKind::Replicas
             && let Ok(replicas) = coding::decode_replicas(&entry.payload)
         {
-            self.sets.push(entry.position.index, replicas);
+            self.memberships.push(entry.position.index, replicas);
         }
         self.log.push(entry.clone());
         self.write.entries.push(entry);
     }
 
-    /// Drops entries from `index` on, in memory and in the next write.
+    /// Removes entries from `index` on, in memory and with the next write.
     pub(super) fn truncate(&mut self, index: u64) {
         self.log.truncate(index);
-        self.sets.truncate(index);
+        self.memberships.truncate(index);
         let last = index.saturating_sub(1);
-        self.durable = self.durable.min(last);
-        for mark in &mut self.marks {
-            mark.1 = mark.1.min(last);
+        self.durable_index = self.durable_index.min(last);
+        for (_, last_index) in &mut self.pending_writes {
+            *last_index = (*last_index).min(last);
         }
         self.write.entries.retain(|entry| entry.position.index < index);
         self.write.truncate_from = Some(self.write.truncate_from.map_or(index, |from| from.min(index)));
     }
 
-    /// Hands the write that this step gathered to the driver.
+    /// Outputs the write collected by this step.
     pub(super) fn flush_write(&mut self) {
         if self.failed || write_is_empty(&self.write) {
             return;
         }
-        self.sequence += 1;
+        self.write_sequence += 1;
         let mut write = std::mem::take(&mut self.write);
-        write.sequence = self.sequence;
-        self.marks.push_back((self.sequence, self.log.last().index));
-        self.out.push(Output::Write(write));
+        write.sequence = self.write_sequence;
+        self.pending_writes.push_back((self.write_sequence, self.log.last().index));
+        self.outputs.push(Output::Write(write));
     }
 
     pub(super) fn acknowledge_writes(&mut self, now: Timestamp, sequence: u64) {
-        self.written = self.written.max(sequence.min(self.sequence));
-        while let Some((number, last)) = self.marks.front().copied()
-            && number <= self.written
+        self.synced_sequence = self.synced_sequence.max(sequence.min(self.write_sequence));
+        while let Some((pending, last)) = self.pending_writes.front().copied()
+            && pending <= self.synced_sequence
         {
-            self.durable = last;
-            self.marks.pop_front();
+            self.durable_index = last;
+            self.pending_writes.pop_front();
         }
-        while let Some((gate, _)) = self.gated.front()
-            && *gate <= self.written
-            && let Some((_, message)) = self.gated.pop_front()
+        while let Some((required, _)) = self.delayed_messages.front()
+            && *required <= self.synced_sequence
+            && let Some((_, message)) = self.delayed_messages.pop_front()
         {
-            self.out.push(Output::Send(message));
+            self.outputs.push(Output::Send(message));
         }
         self.count_own_vote(now);
         self.advance_commit(now);
