--- a/agatetrestle/src/attempts/admin.rs
+++ b/agatetrestle/src/attempts/admin.rs
@@ -29,7 +29,7 @@
 use crate::clock::Timestamp;
 use crate::ids::ProgramId;
 use crate::scheduler::event::BackendKey;
-use crate::scheduler::event::CacheOrder;
+use crate::scheduler::event::CacheCommand;
 use crate::scheduler::event::Event;
 
 /// Time between two polls of a backend server.
@@ -151,10 +151,10 @@
 }
 
 /// Splits a cache order into its program, its engine and the command to send.
-pub(super) fn into_command(order: CacheOrder) -> (ProgramId, BackendKey, EngineCommand) {
+pub(super) fn into_command(order: CacheCommand) -> (ProgramId, BackendKey, EngineCommand) {
     match order {
-        CacheOrder::Release { program, backend } => (program, backend, EngineCommand::Release),
-        CacheOrder::Export { program, backend } => (program, backend, EngineCommand::Export),
-        CacheOrder::Import { program, backend } => (program, backend, EngineCommand::Import),
+        CacheCommand::Release { program, backend } => (program, backend, EngineCommand::Release),
+        CacheCommand::Export { program, backend } => (program, backend, EngineCommand::Export),
+        CacheCommand::Import { program, backend } => (program, backend, EngineCommand::Import),
     }
 }
--- a/agatetrestle/src/attempts/dispatcher.rs
+++ b/agatetrestle/src/attempts/dispatcher.rs
@@ -131,7 +131,7 @@
         for action in decisions.actions {
             self.send_action(action);
         }
-        for order in decisions.orders {
+        for order in decisions.cache_commands {
             let (program, backend, command) = admin::into_command(order);
             if let Some((_, address)) = self.endpoint(backend) {
                 self.admin.enqueue(program, command, address);
@@ -148,7 +148,7 @@
 
     async fn tick(&self) {
         loop {
-            let interval = self.scheduler.borrow().tick_within();
+            let interval = self.scheduler.borrow().tick_interval();
             self.timer.after(interval).await;
             self.step(Event::Tick);
         }
--- a/agatetrestle/src/node/assembly.rs
+++ b/agatetrestle/src/node/assembly.rs
@@ -43,7 +43,7 @@
 use crate::scheduler::Policy;
 use crate::scheduler::Scheduler;
 use crate::scheduler::SchedulerConfig;
-use crate::trace::recorder::Recording;
+use crate::trace::recorder::RecordingScheduler;
 use crate::trace::recorder::TraceLog;
 
 /// One try of a request to a group is given up after this many election timeouts.
@@ -91,7 +91,7 @@
         let ledger = Rc::new(LedgerPort::new(router(FIRST_STATE_GROUP, replicas.state_service())));
         let traces = Rc::new(TraceLog::default());
         let deciding = scheduler::build(Policy::default(), SchedulerConfig::default(), incarnation);
-        let recording = Recording::new(deciding, traces.clone(), metrics.clone());
+        let recording = RecordingScheduler::new(deciding, traces.clone(), metrics.clone());
         let scheduler: Rc<RefCell<Box<dyn Scheduler>>> = Rc::new(RefCell::new(Box::new(recording)));
         let calls = dispatcher(&scheduler, timing.peer_call, clock);
         let registry = replicas.control.clone().map(|group| {
--- a/agatetrestle/src/node/listings.rs
+++ b/agatetrestle/src/node/listings.rs
@@ -89,7 +89,7 @@
         let (_, endpoints) = catalog::build(&documents);
         let scheduler = self.scheduler.borrow();
         let view = |state: &BackendState| view(&**scheduler, &endpoints, state);
-        scheduler.loads().iter().filter_map(view).collect()
+        scheduler.backend_states().iter().filter_map(view).collect()
     }
 }
 
--- a/agatetrestle/src/placing/cost.rs
+++ b/agatetrestle/src/placing/cost.rs
@@ -13,7 +13,7 @@
 use crate::scheduler::fleet::Fleet;
 use crate::scheduler::fleet::PoolKey;
 use crate::scheduler::fleet::Server;
-use crate::scheduler::programs::Place;
+use crate::scheduler::programs::PrefixLocation;
 use crate::scheduler::random::Random;
 
 /// With at most this many open servers, all of them are candidates.
@@ -85,7 +85,7 @@
         let prefill = (computed + fetched / divisor) * cfg.prefill_per_token;
         let queue = server.pending_prefill * cfg.prefill_per_token;
         let load = u64::from(server.load());
-        let step = (cfg.step_base + cfg.step_per_request * (load + 1)) * server.pace / PERCENT;
+        let step = (cfg.step_base + cfg.step_per_request * (load + 1)) * server.slowdown_percent / PERCENT;
         let delay_to_others = prefill * load * cfg.externality / PERCENT;
         let eviction = self.eviction_cost(server, request);
         let cost = queue + prefill + delay_to_others + eviction + step * request.output_tokens;
@@ -97,7 +97,9 @@
             return (Fetch::None, 0);
         }
         match request.place {
-            Place::Held(from) if from != key => (Fetch::Move(from), request.own_tokens.min(missing)),
+            PrefixLocation::Cached(from) if from != key => {
+                (Fetch::Move(from), request.own_tokens.min(missing))
+            }
             _ if request.exported_tokens > 0 => (Fetch::Import, request.exported_tokens.min(missing)),
             _ => (Fetch::None, 0),
         }
@@ -133,7 +135,7 @@
         let candidate = self.estimate(server, key, request);
         let step = self.cfg.step_base + self.cfg.step_per_request * u64::from(server.load());
         let service_time = step * request.output_tokens;
-        let ahead = u64::from(server.held_back) + 1;
+        let ahead = u64::from(server.deferred_calls) + 1;
         let wait = service_time * ahead / u64::from(server.limit.max(1));
         Some(Candidate { cost: candidate.cost + wait, ..candidate })
     }
--- a/agatetrestle/src/placing/mod.rs
+++ b/agatetrestle/src/placing/mod.rs
@@ -11,7 +11,7 @@
 use crate::scheduler::event::BackendKey;
 use crate::scheduler::fleet::Fleet;
 use crate::scheduler::fleet::PoolKey;
-use crate::scheduler::programs::Place;
+use crate::scheduler::programs::PrefixLocation;
 
 /// A call to place.
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
     /// Tokens that can be imported, because the prefix of the program or of its root has been exported.
     pub exported_tokens: u64,
     /// Location of the program's own tokens.
-    pub place: Place,
+    pub place: PrefixLocation,
     /// Server of the program's last call.
     pub last_server: Option<BackendKey>,
     /// Server of the last call of its root program.
--- a/agatetrestle/src/scheduler/core/dispatch.rs
+++ b/agatetrestle/src/scheduler/core/dispatch.rs
@@ -16,12 +16,12 @@
 use crate::scheduler::core::State;
 use crate::scheduler::event::Action;
 use crate::scheduler::event::BackendKey;
-use crate::scheduler::event::CacheOrder;
+use crate::scheduler::event::CacheCommand;
 use crate::scheduler::event::Decisions;
 use crate::scheduler::event::RefusalReason;
 use crate::scheduler::event::Work;
 use crate::scheduler::fleet::PoolKey;
-use crate::scheduler::programs::Place;
+use crate::scheduler::programs::PrefixLocation;
 use crate::scheduler::programs::Program;
 use crate::scheduler::programs::ProgramKey;
 use crate::scheduler::programs::Programs;
@@ -60,7 +60,7 @@
             match self.choose(now, pool, ticket.call) {
                 Placement::Send { to, fetch } => self.send(now, ticket.call, to, fetch, decisions),
                 Placement::WaitFor(server) => {
-                    self.fleet.servers[server].held_back += 1;
+                    self.fleet.servers[server].deferred_calls += 1;
                     held_for.push(server);
                     left.push((owner, ticket));
                 }
@@ -68,7 +68,7 @@
             }
         }
         for server in held_for {
-            self.fleet.servers[server].held_back = 0;
+            self.fleet.servers[server].deferred_calls = 0;
         }
         let lane = if outliers { &mut self.outliers } else { &mut self.queues };
         for (owner, ticket) in left {
@@ -195,7 +195,7 @@
         let place = self.programs.get(key).map(|program| program.place).unwrap_or_default();
         match (fetch, place) {
             (Fetch::Move(from), _) if self.parts.retention => self.export(key, from, decisions),
-            (_, Place::Held(from)) if from != to => self.release_everywhere(key, decisions),
+            (_, PrefixLocation::Cached(from)) if from != to => self.release_everywhere(key, decisions),
             _ => self.unpark(key),
         }
         if fetch == Fetch::None || !self.parts.retention {
@@ -203,7 +203,7 @@
         }
         if let Some(program) = self.programs.get(key) {
             let program = program.id.clone();
-            decisions.orders.push(CacheOrder::Import { program, backend: to });
+            decisions.cache_commands.push(CacheCommand::Import { program, backend: to });
         }
     }
 
@@ -218,7 +218,7 @@
         };
         if is_model {
             program.home = Some(to);
-            program.place = Place::Held(to);
+            program.place = PrefixLocation::Cached(to);
             program.blocks = blocks.clone();
             program.prompt_tokens = u64::from(*prompt_tokens);
             program.tokens = u64::from(*prompt_tokens);
--- a/agatetrestle/src/scheduler/core/memory.rs
+++ b/agatetrestle/src/scheduler/core/memory.rs
@@ -6,9 +6,9 @@
 use crate::ids::ProgramId;
 use crate::scheduler::core::Core;
 use crate::scheduler::event::BackendKey;
-use crate::scheduler::event::CacheOrder;
+use crate::scheduler::event::CacheCommand;
 use crate::scheduler::event::Decisions;
-use crate::scheduler::programs::Place;
+use crate::scheduler::programs::PrefixLocation;
 use crate::scheduler::programs::ProgramKey;
 
 impl Core {
@@ -17,11 +17,11 @@
         let Some(program) = self.programs.get_mut(key) else {
             return;
         };
-        let Place::Held(holder) = program.place else {
+        let PrefixLocation::Cached(holder) = program.place else {
             return;
         };
         let Some(server) = self.fleet.servers.get_mut(holder) else {
-            program.place = Place::Nowhere;
+            program.place = PrefixLocation::Unknown;
             return;
         };
         if !program.parked {
@@ -33,7 +33,7 @@
 
     /// A program is about to go on, so that its tokens are no longer offered for export.
     pub(super) fn no_longer_idle(&mut self, key: ProgramKey, expected: Timestamp) {
-        let Some(Place::Held(holder)) = self.programs.get(key).map(|program| program.place) else {
+        let Some(PrefixLocation::Cached(holder)) = self.programs.get(key).map(|program| program.place) else {
             return;
         };
         if let Some(server) = self.fleet.servers.get_mut(holder) {
@@ -47,7 +47,7 @@
             return;
         };
         program.parked = false;
-        let Place::Held(holder) = program.place else {
+        let PrefixLocation::Cached(holder) = program.place else {
             return;
         };
         if let Some(server) = self.fleet.servers.get_mut(holder) {
@@ -83,10 +83,10 @@
         let Some(program) = self.programs.get_mut(key) else {
             return;
         };
-        program.place = Place::Exported(holder);
+        program.place = PrefixLocation::Exported(holder);
         program.exported = true;
         let program = program.id.clone();
-        decisions.orders.push(CacheOrder::Export { program, backend: holder });
+        decisions.cache_commands.push(CacheCommand::Export { program, backend: holder });
     }
 
     /// Drops what a program holds anywhere.
@@ -99,7 +99,7 @@
             self.no_longer_idle(key, expected);
         }
         self.unpark(key);
-        let (Place::Held(holder) | Place::Exported(holder)) = place else {
+        let (PrefixLocation::Cached(holder) | PrefixLocation::Exported(holder)) = place else {
             return;
         };
         if !self.parts.retention {
@@ -109,9 +109,9 @@
         let Some(program) = self.programs.get_mut(key) else {
             return;
         };
-        program.place = Place::Nowhere;
+        program.place = PrefixLocation::Unknown;
         let program = program.id.clone();
-        decisions.orders.push(CacheOrder::Release { program, backend: holder });
+        decisions.cache_commands.push(CacheCommand::Release { program, backend: holder });
     }
 
     /// Ends a pause's guess and makes a better one, now that the tool is known.
@@ -143,7 +143,7 @@
             return;
         };
         pause.expected = expected;
-        let Place::Held(holder) = program.place else {
+        let PrefixLocation::Cached(holder) = program.place else {
             return;
         };
         let Some(server) = self.fleet.servers.get_mut(holder) else {
--- a/agatetrestle/src/scheduler/core/mod.rs
+++ b/agatetrestle/src/scheduler/core/mod.rs
@@ -206,11 +206,11 @@
         self.fleet.servers.get(key).map(|server| &server.backend)
     }
 
-    fn tick_within(&self) -> Duration {
+    fn tick_interval(&self) -> Duration {
         self.cfg.tick
     }
 
-    fn loads(&self) -> Vec<BackendState> {
+    fn backend_states(&self) -> Vec<BackendState> {
         let listing = |(key, server): (BackendKey, &crate::scheduler::fleet::Server)| BackendState {
             key,
             running: server.running,
--- a/agatetrestle/src/scheduler/core/tests.rs
+++ b/agatetrestle/src/scheduler/core/tests.rs
@@ -16,7 +16,7 @@
 use crate::scheduler::core::Parts;
 use crate::scheduler::event::Action;
 use crate::scheduler::event::Backend;
-use crate::scheduler::event::CacheOrder;
+use crate::scheduler::event::CacheCommand;
 use crate::scheduler::event::Call;
 use crate::scheduler::event::CallId;
 use crate::scheduler::event::Catalog;
@@ -110,7 +110,7 @@
         finish(&mut core, now + SECOND / 2, id);
         let ended = ProgramId { partner: "partner".into(), name: program.as_str().into() };
         let decisions = core.step(Timestamp(now + SECOND / 2), Event::Ended(ended));
-        assert!(matches!(decisions.orders[..], [CacheOrder::Release { .. }]), "{decisions:?}");
+        assert!(matches!(decisions.cache_commands[..], [CacheCommand::Release { .. }]), "{decisions:?}");
     }
     assert_eq!(core.remembered(), (0, 0));
     for (_, server) in &core.fleet.servers {
@@ -126,9 +126,9 @@
     core.step(Timestamp(0), Event::Submit(call(1, "silent", 1, Repeatable::Yes)));
     finish(&mut core, SECOND, 1);
     let before = core.step(Timestamp(60 * SECOND), Event::Tick);
-    assert!(before.orders.is_empty(), "{before:?}");
+    assert!(before.cache_commands.is_empty(), "{before:?}");
     let after = core.step(Timestamp(62 * SECOND), Event::Tick);
-    assert!(matches!(after.orders[..], [CacheOrder::Release { .. }]), "{after:?}");
+    assert!(matches!(after.cache_commands[..], [CacheCommand::Release { .. }]), "{after:?}");
     assert_eq!(core.remembered(), (0, 0));
 }
 
@@ -147,7 +147,7 @@
             assert!(sent.insert(next), "{next:?} was sent twice");
             waiting.push(next);
         }
-        assert!(core.loads().iter().all(|state| state.running <= 3));
+        assert!(core.backend_states().iter().all(|state| state.running <= 3));
     }
     assert_eq!(sent.len(), 40);
 }
--- a/agatetrestle/src/scheduler/event.rs
+++ b/agatetrestle/src/scheduler/event.rs
@@ -251,7 +251,7 @@
 
 /// An order about an engine's cache, told apart from [`Action`] because losing one is harmless.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum CacheOrder {
+pub enum CacheCommand {
     /// Drop what the program holds beyond shared prefixes.
     Release {
         /// The program.
@@ -281,5 +281,5 @@
     /// About calls, in order.
     pub actions: Vec<Action>,
     /// About caches.
-    pub orders: Vec<CacheOrder>,
+    pub cache_commands: Vec<CacheCommand>,
 }
--- a/agatetrestle/src/scheduler/fleet.rs
+++ b/agatetrestle/src/scheduler/fleet.rs
@@ -50,11 +50,11 @@
     /// Prompt tokens to compute before the last one sent has its first token.
     pub pending_prefill: u64,
     /// Waiting calls that were held back for this server in the last passes.
-    pub held_back: u32,
+    pub deferred_calls: u32,
     /// Blocks believed to be in its prefix cache.
     pub residency: Residency,
     /// Time of a generated token against what is expected, in percent.
-    pub pace: u64,
+    pub slowdown_percent: u64,
     /// No new call before this time.
     pub resting_until: Timestamp,
     /// The watch over its outcomes.
@@ -99,7 +99,7 @@
 
     /// Takes in the time of a generated token against what was expected, in percent.
     pub fn observe_pace(&mut self, percent: u64) {
-        self.pace = ((self.pace * (PACE_WEIGHT - 1) + percent) / PACE_WEIGHT).max(1);
+        self.slowdown_percent = ((self.slowdown_percent * (PACE_WEIGHT - 1) + percent) / PACE_WEIGHT).max(1);
     }
 
     /// Whether it takes calls at all.
@@ -282,9 +282,9 @@
             idle_tokens: 0,
             idle: BTreeSet::new(),
             pending_prefill: 0,
-            held_back: 0,
+            deferred_calls: 0,
             residency: Residency::default(),
-            pace: NORMAL_PACE,
+            slowdown_percent: NORMAL_PACE,
             resting_until: Timestamp(0),
             watch: None,
             ejections: 0,
--- a/agatetrestle/src/scheduler/mod.rs
+++ b/agatetrestle/src/scheduler/mod.rs
@@ -3,7 +3,6 @@
 //! A [`Scheduler`] is told [`event::Event`] and answers with [`event::Decisions`]. It is pure, so
 //! that the daemon and the replay run the same code; see docs/design/005-order-of-service.md.
 
-pub mod baseline;
 pub mod classes;
 pub mod config;
 pub mod core;
@@ -14,6 +13,7 @@
 pub mod programs;
 pub mod random;
 pub mod residual;
+pub mod round_robin;
 
 use std::time::Duration;
 
@@ -36,10 +36,10 @@
     fn backend(&self, key: BackendKey) -> Option<&Backend>;
 
     /// The longest time the driver may wait before the next [`Event::Tick`].
-    fn tick_within(&self) -> Duration;
+    fn tick_interval(&self) -> Duration;
 
     /// Calls in service and waiting, by backend server, for listings.
-    fn loads(&self) -> Vec<BackendState>;
+    fn backend_states(&self) -> Vec<BackendState>;
 }
 
 /// A backend server in listings.
--- a/agatetrestle/src/scheduler/policy.rs
+++ b/agatetrestle/src/scheduler/policy.rs
@@ -10,7 +10,6 @@
 use crate::placing::least_load::LeastLoad;
 use crate::placing::sticky::Sticky;
 use crate::scheduler::Scheduler;
-use crate::scheduler::baseline::Baseline;
 use crate::scheduler::config::SchedulerConfig;
 use crate::scheduler::core::Core;
 use crate::scheduler::core::Parts;
@@ -18,6 +17,7 @@
 use crate::scheduler::order::FirstCome;
 use crate::scheduler::order::Measure;
 use crate::scheduler::order::ShortestCall;
+use crate::scheduler::round_robin::RoundRobinScheduler;
 
 /// How calls are ordered, placed and kept.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
@@ -95,7 +95,7 @@
     let rest = |cfg: &SchedulerConfig| Box::new(ByProgram::new(cfg, Measure::Rest));
     let cost = |cfg: &SchedulerConfig, moves| Box::new(CostPlacer::new(cfg, moves, seed));
     let parts = match policy {
-        Policy::RoundRobin => return Box::new(Baseline::default()),
+        Policy::RoundRobin => return Box::new(RoundRobinScheduler::default()),
         Policy::LeastLoad => Parts {
             order: first_come(),
             placer: Box::new(LeastLoad),
--- a/agatetrestle/src/scheduler/programs.rs
+++ b/agatetrestle/src/scheduler/programs.rs
@@ -23,12 +23,12 @@
 
 /// Where a program's prefix is.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Place {
+pub enum PrefixLocation {
     /// Nowhere as far as is known.
     #[default]
-    Nowhere,
+    Unknown,
     /// In the memory of an engine.
-    Held(BackendKey),
+    Cached(BackendKey),
     /// Exported from an engine.
     Exported(BackendKey),
 }
@@ -56,7 +56,7 @@
     /// Time that its calls and those of its sub-agents have waited.
     pub waited: Duration,
     /// Where its prefix is.
-    pub place: Place,
+    pub place: PrefixLocation,
     /// The backend server of its last call.
     pub home: Option<BackendKey>,
     /// Blocks of its last prompt.
@@ -122,7 +122,7 @@
             class: class.clone(),
             attained: 0,
             waited: Duration::ZERO,
-            place: Place::Nowhere,
+            place: PrefixLocation::Unknown,
             home: None,
             blocks: Arc::default(),
             prompt_tokens: 0,
--- a/agatetrestle/src/scheduler/baseline.rs
+++ b/agatetrestle/src/scheduler/round_robin.rs
@@ -44,7 +44,7 @@
 
 /// Round robin over backend servers with a free slot; waiting calls go in order of arrival.
 #[derive(Debug, Default)]
-pub struct Baseline {
+pub struct RoundRobinScheduler {
     backends: SlotMap<BackendKey, Slot>,
     names: HashMap<Arc<str>, BackendKey>,
     leaving: HashSet<Arc<str>>,
@@ -53,7 +53,7 @@
     turn: usize,
 }
 
-impl Baseline {
+impl RoundRobinScheduler {
     fn declare(&mut self, catalog: &Catalog) {
         let declared: HashSet<&Arc<str>> = catalog.backends.iter().map(|b| &b.name).collect();
         let gone: Vec<Arc<str>> =
@@ -151,7 +151,7 @@
     }
 }
 
-impl Scheduler for Baseline {
+impl Scheduler for RoundRobinScheduler {
     fn step(&mut self, _now: Timestamp, event: Event) -> Decisions {
         let mut decisions = Decisions::default();
         match event {
@@ -186,11 +186,11 @@
         self.backends.get(key).map(|slot| &slot.backend)
     }
 
-    fn tick_within(&self) -> Duration {
+    fn tick_interval(&self) -> Duration {
         TICK
     }
 
-    fn loads(&self) -> Vec<BackendState> {
+    fn backend_states(&self) -> Vec<BackendState> {
         let state = |slot: &Slot| {
             if self.is_leaving(&slot.backend) { "leaving" } else { "ready" }
         };
--- a/agatetrestle/src/trace/recorder.rs
+++ b/agatetrestle/src/trace/recorder.rs
@@ -26,7 +26,7 @@
 use crate::scheduler::event::Action;
 use crate::scheduler::event::Backend;
 use crate::scheduler::event::BackendKey;
-use crate::scheduler::event::CacheOrder;
+use crate::scheduler::event::CacheCommand;
 use crate::scheduler::event::Call;
 use crate::scheduler::event::CallId;
 use crate::scheduler::event::Decisions;
@@ -78,7 +78,7 @@
 }
 
 /// A scheduler that records what another one is told.
-pub struct Recording {
+pub struct RecordingScheduler {
     inner: Box<dyn Scheduler>,
     log: Rc<TraceLog>,
     recorder: Rc<dyn Recorder>,
@@ -105,7 +105,7 @@
     cache: ProgramCacheUsage,
 }
 
-impl Recording {
+impl RecordingScheduler {
     /// Records what `inner` is told into `log`, and the account of caches by `recorder`.
     #[must_use]
     pub fn new(inner: Box<dyn Scheduler>, log: Rc<TraceLog>, recorder: Rc<dyn Recorder>) -> Self {
@@ -148,8 +148,8 @@
         }
     }
 
-    fn note_order(&mut self, order: &CacheOrder) {
-        let (CacheOrder::Release { program, .. } | CacheOrder::Export { program, .. }) = order else {
+    fn note_order(&mut self, order: &CacheCommand) {
+        let (CacheCommand::Release { program, .. } | CacheCommand::Export { program, .. }) = order else {
             return;
         };
         if let Some(story) = self.programs.get_mut(program) {
@@ -261,14 +261,14 @@
     }
 }
 
-impl Scheduler for Recording {
+impl Scheduler for RecordingScheduler {
     fn step(&mut self, now: Timestamp, event: Event) -> Decisions {
         self.note_event(now, &event);
         let decisions = self.inner.step(now, event);
         for action in &decisions.actions {
             self.note_action(now, action);
         }
-        for order in &decisions.orders {
+        for order in &decisions.cache_commands {
             self.note_order(order);
         }
         decisions
@@ -278,12 +278,12 @@
         self.inner.backend(key)
     }
 
-    fn tick_within(&self) -> Duration {
-        self.inner.tick_within()
+    fn tick_interval(&self) -> Duration {
+        self.inner.tick_interval()
     }
 
-    fn loads(&self) -> Vec<BackendState> {
-        self.inner.loads()
+    fn backend_states(&self) -> Vec<BackendState> {
+        self.inner.backend_states()
     }
 }
 
--- a/agatetrestle/src/trace/recorder/tests.rs
+++ b/agatetrestle/src/trace/recorder/tests.rs
@@ -26,10 +26,10 @@
 
 impl Scheduler for Inner {
     fn step(&mut self, _: Timestamp, event: Event) -> Decisions {
-        let order = CacheOrder::Release { program: named("dawn"), backend: BackendKey::default() };
+        let order = CacheCommand::Release { program: named("dawn"), backend: BackendKey::default() };
         let call = match event {
             Event::Submit(call) => call,
-            Event::Tick => return Decisions { orders: vec![order], ..Decisions::default() },
+            Event::Tick => return Decisions { cache_commands: vec![order], ..Decisions::default() },
             _ => return Decisions::default(),
         };
         let call = call.id;
@@ -46,17 +46,17 @@
         None
     }
 
-    fn tick_within(&self) -> Duration {
+    fn tick_interval(&self) -> Duration {
         Duration::MAX
     }
 
-    fn loads(&self) -> Vec<BackendState> {
+    fn backend_states(&self) -> Vec<BackendState> {
         Vec::new()
     }
 }
 
 struct Rig {
-    recording: Recording,
+    recording: RecordingScheduler,
     log: Rc<TraceLog>,
     account: Rc<Account>,
     now: u64,
@@ -68,7 +68,7 @@
         let log = Rc::new(TraceLog::default());
         let account = Rc::new(Account::default());
         let recorder: Rc<dyn Recorder> = account.clone();
-        let recording = Recording::new(Box::new(Inner { refuse }), Rc::clone(&log), recorder);
+        let recording = RecordingScheduler::new(Box::new(Inner { refuse }), Rc::clone(&log), recorder);
         Self { recording, log, account, now: 0, calls: 0 }
     }
 
--- a/agatetrestle/tests/callers.rs
+++ b/agatetrestle/tests/callers.rs
@@ -490,11 +490,11 @@
         None
     }
 
-    fn tick_within(&self) -> Duration {
+    fn tick_interval(&self) -> Duration {
         Duration::from_secs(1)
     }
 
-    fn loads(&self) -> Vec<BackendState> {
+    fn backend_states(&self) -> Vec<BackendState> {
         Vec::new()
     }
 }
--- a/agatetrestle/tests/support/mod.rs
+++ b/agatetrestle/tests/support/mod.rs
@@ -39,7 +39,7 @@
 use agatetrestle::programs::command::QueryReply;
 use agatetrestle::programs::ledger::LedgerState;
 use agatetrestle::scheduler::Scheduler;
-use agatetrestle::scheduler::baseline::Baseline;
+use agatetrestle::scheduler::round_robin::RoundRobinScheduler;
 use agatetrestle_config::settings::Callers;
 use agatetrestle_fakes::Client;
 use agatetrestle_fakes::client::Call;
@@ -295,7 +295,7 @@
     }
 
     pub async fn node(&self, id: u64) -> Node {
-        self.node_with(id, Box::new(Baseline::default())).await
+        self.node_with(id, Box::new(RoundRobinScheduler::default())).await
     }
 
     pub async fn node_with(&self, id: u64, scheduler: Box<dyn Scheduler>) -> Node {
--- a/agatetrestle/tests/upkeep.rs
+++ b/agatetrestle/tests/upkeep.rs
@@ -10,14 +10,14 @@
 use agatetrestle::ids::ProgramId;
 use agatetrestle::scheduler::BackendState;
 use agatetrestle::scheduler::Scheduler;
-use agatetrestle::scheduler::baseline::Baseline;
 use agatetrestle::scheduler::event::Backend;
 use agatetrestle::scheduler::event::BackendKey;
 use agatetrestle::scheduler::event::CacheChange;
-use agatetrestle::scheduler::event::CacheOrder;
+use agatetrestle::scheduler::event::CacheCommand;
 use agatetrestle::scheduler::event::Decisions;
 use agatetrestle::scheduler::event::Event;
 use agatetrestle::scheduler::event::Work;
+use agatetrestle::scheduler::round_robin::RoundRobinScheduler;
 use agatetrestle_fakes::Engine;
 use agatetrestle_fakes::EngineConfig;
 use agatetrestle_fakes::client::chat_form;
@@ -40,7 +40,7 @@
 
 /// The baseline, which also has the cache of a program released when it ends.
 struct Releasing {
-    inner: Baseline,
+    inner: RoundRobinScheduler,
     told: Rc<RefCell<Told>>,
 }
 
@@ -70,8 +70,8 @@
         let mut decisions = self.inner.step(now, event);
         if ended {
             let program = ProgramId::parse(PROGRAM).unwrap();
-            let backend = self.inner.loads()[0].key;
-            decisions.orders.push(CacheOrder::Release { program, backend });
+            let backend = self.inner.backend_states()[0].key;
+            decisions.cache_commands.push(CacheCommand::Release { program, backend });
         }
         decisions
     }
@@ -80,12 +80,12 @@
         self.inner.backend(key)
     }
 
-    fn tick_within(&self) -> Duration {
+    fn tick_interval(&self) -> Duration {
         7 * INTERVAL
     }
 
-    fn loads(&self) -> Vec<BackendState> {
-        self.inner.loads()
+    fn backend_states(&self) -> Vec<BackendState> {
+        self.inner.backend_states()
     }
 }
 
@@ -95,7 +95,7 @@
         let engine = Engine::start(&executor, EngineConfig::default()).await.unwrap();
         let rig = Rig::new(&executor, &[engine.address], &[]);
         let told = Rc::new(RefCell::new(Told::default()));
-        let scheduler = Releasing { inner: Baseline::default(), told: Rc::clone(&told) };
+        let scheduler = Releasing { inner: RoundRobinScheduler::default(), told: Rc::clone(&told) };
         let node = rig.node_with(1, Box::new(scheduler)).await;
         let calls = Rc::clone(&node.entry.dispatcher);
         executor.spawn(async move { calls.run_background().await }).detach();
--- a/agatetrestle_replay/src/world.rs
+++ b/agatetrestle_replay/src/world.rs
@@ -15,7 +15,7 @@
 use agatetrestle::scheduler::event::Action;
 use agatetrestle::scheduler::event::BackendKey;
 use agatetrestle::scheduler::event::CacheChange;
-use agatetrestle::scheduler::event::CacheOrder;
+use agatetrestle::scheduler::event::CacheCommand;
 use agatetrestle::scheduler::event::Call;
 use agatetrestle::scheduler::event::CallId;
 use agatetrestle::scheduler::event::Catalog;
@@ -170,7 +170,7 @@
             self.agenda.add(fault.at, Happening::Fault(at));
         }
         self.agenda.add(REPORT_INTERVAL, Happening::Report);
-        self.agenda.add(micros(self.scheduler.tick_within()), Happening::Tick);
+        self.agenda.add(micros(self.scheduler.tick_interval()), Happening::Tick);
     }
 
     fn drive(&mut self) {
@@ -200,7 +200,7 @@
             return;
         }
         self.tell(Event::Tick);
-        let next = self.now + micros(self.scheduler.tick_within()).max(1);
+        let next = self.now + micros(self.scheduler.tick_interval()).max(1);
         self.agenda.add(next, Happening::Tick);
     }
 
@@ -236,7 +236,7 @@
     }
 
     fn carry_out(&mut self, decisions: &Decisions) {
-        for order in &decisions.orders {
+        for order in &decisions.cache_commands {
             self.order(order);
         }
         for action in &decisions.actions {
@@ -563,10 +563,10 @@
         self.tell(Event::Failed { call: CallId(id), failure });
     }
 
-    fn order(&mut self, order: &CacheOrder) {
-        let (CacheOrder::Release { program, backend }
-        | CacheOrder::Export { program, backend }
-        | CacheOrder::Import { program, backend }) = order;
+    fn order(&mut self, order: &CacheCommand) {
+        let (CacheCommand::Release { program, backend }
+        | CacheCommand::Export { program, backend }
+        | CacheCommand::Import { program, backend }) = order;
         let found = self.index.get(program).copied();
         let (Some(at), Some(server)) = (found, self.server(*backend)) else {
             return;
@@ -579,7 +579,7 @@
             return;
         };
         match order {
-            CacheOrder::Release { .. } => {
+            CacheCommand::Release { .. } => {
                 let released = engine.cache.release(&blocks, owner);
                 if self.progress[at].fate != Fate::Live {
                     self.fleet.host.discard(&blocks, owner);
@@ -588,7 +588,7 @@
                     self.cache_event(server, CacheChange::Evicted(released.into()));
                 }
             }
-            CacheOrder::Export { .. } => {
+            CacheCommand::Export { .. } => {
                 let exported = engine.cache.export(&blocks, owner);
                 self.fleet.host.store(&exported, owner);
                 let gone: Vec<u64> = exported.iter().map(|exported| exported.block).collect();
@@ -596,7 +596,7 @@
                     self.cache_event(server, CacheChange::Evicted(gone.into()));
                 }
             }
-            CacheOrder::Import { .. } => engine.import(owner),
+            CacheCommand::Import { .. } => engine.import(owner),
         }
     }
 
--- a/agatetrestle_replay/tests/recorded.rs
+++ b/agatetrestle_replay/tests/recorded.rs
@@ -24,7 +24,7 @@
 use agatetrestle::trace;
 use agatetrestle::trace::CallKind;
 use agatetrestle::trace::TraceCall;
-use agatetrestle::trace::recorder::Recording;
+use agatetrestle::trace::recorder::RecordingScheduler;
 use agatetrestle::trace::recorder::TraceLog;
 use agatetrestle_replay::catalog::Pool;
 use agatetrestle_replay::replay;
@@ -55,11 +55,11 @@
         None
     }
 
-    fn tick_within(&self) -> Duration {
+    fn tick_interval(&self) -> Duration {
         Duration::MAX
     }
 
-    fn loads(&self) -> Vec<BackendState> {
+    fn backend_states(&self) -> Vec<BackendState> {
         Vec::new()
     }
 }
@@ -93,7 +93,7 @@
 /// Tells the recorder every call in turn, a millisecond for each step.
 fn record(calls: &[TraceCall]) -> Vec<TraceCall> {
     let log = Rc::new(TraceLog::default());
-    let mut recording = Recording::new(Box::new(Silent), log.clone(), Rc::new(NoMeasures));
+    let mut recording = RecordingScheduler::new(Box::new(Silent), log.clone(), Rc::new(NoMeasures));
     let mut now = 0;
     let mut step = |event| {
         now += 1_000;
