--- a/agatetrestle/examples/quickstart/cluster.rs
+++ b/agatetrestle/examples/quickstart/cluster.rs
@@ -70,8 +70,11 @@
     /// Starts everything and applies the declarations.
     pub async fn start(executor: &Rc<LocalExecutor<'static>>) -> Result<Self, QuickstartError> {
         let folder = std::env::temp_dir().join(format!("agatetrestle-quickstart-{}", std::process::id()));
-        let engine =
-            EngineConfig { tokens: TOKENS, per_token: Duration::from_millis(4), ..EngineConfig::default() };
+        let engine = EngineConfig {
+            output_tokens: TOKENS,
+            token_delay: Duration::from_millis(4),
+            ..EngineConfig::default()
+        };
         let engines =
             vec![Engine::start(executor, engine.clone()).await?, Engine::start(executor, engine).await?];
         let tool = Tool::start(executor, Duration::from_millis(80)).await?;
--- a/agatetrestle/examples/quickstart/scenario.rs
+++ b/agatetrestle/examples/quickstart/scenario.rs
@@ -153,7 +153,7 @@
         let pieces = Cell::new(0);
         let streaming = async {
             let client = Client::new(serving);
-            let outcome = client.chat_watched(&call, &form, |_| pieces.set(pieces.get() + 1)).await;
+            let outcome = client.chat_with_progress(&call, &form, |_| pieces.set(pieces.get() + 1)).await;
             outcome.is_ok()
         };
         let losing = async {
--- a/agatetrestle/src/cluster/subscriber/tests.rs
+++ b/agatetrestle/src/cluster/subscriber/tests.rs
@@ -72,7 +72,7 @@
         // The connection leads to a follower, which loses power and restarts as the leader.
         let address = subscriber.contacts().first().copied().unwrap();
         assert!(!subscriber.report_to(address).await);
-        forwarder.forget();
+        forwarder.blackhole_existing();
         replica.0.set(true);
         for _ in 0..MAX_SEARCHES {
             // Each search is cancelled before the timeout of its report.
--- a/agatetrestle/src/node/peer_link/tests.rs
+++ b/agatetrestle/src/node/peer_link/tests.rs
@@ -86,7 +86,7 @@
         executor.spawn(peer_server::serve(Rc::new(server), listener, Rc::downgrade(&executor))).detach();
         let link = Links::new(NodeId(1), EVER, &executor).link_to(forwarder.address);
         assert!(submit_remotely(&link, EVER, GROUP, b"first").await.is_ok());
-        forwarder.forget();
+        forwarder.blackhole_existing();
         let deadline = SOON * 2;
         let callers =
             (0..CALLERS).map(|_| with_deadline(SOON, submit_remotely(&link, deadline, GROUP, b"next")));
--- a/agatetrestle/tests/callers.rs
+++ b/agatetrestle/tests/callers.rs
@@ -123,7 +123,7 @@
         let (client, seen) = (node.client, Rc::clone(&told));
         let chatting = executor.spawn(async move {
             let watch = |bytes: &[u8]| seen.borrow_mut().push_str(&String::from_utf8_lossy(bytes));
-            client.chat_watched(&call(1, "k1"), &chat(), watch).await
+            client.chat_with_progress(&call(1, "k1"), &chat(), watch).await
         });
         while rig.ledger.held.get() == 0 || !told.borrow().contains("#1:7 ") {
             smol::future::yield_now().await;
@@ -144,10 +144,10 @@
         let rig = Rig::new(&executor, &[], &[service.address]);
         let (first, second) = (rig.node(1).await, rig.node(2).await);
         rig.open(&first).await;
-        service.behave(Behaviour::RunAndClose);
+        service.set_behaviour(Behaviour::RunAndClose);
         let reply = first.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
         assert_eq!((reply.status, &reply.json()["outcome"]), (502, &json!("unknown")));
-        service.behave(Behaviour::Answer);
+        service.set_behaviour(Behaviour::Answer);
         let again = second.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
         assert_eq!((again.status, &again.json()["reason"]), (409, &json!("in_doubt")));
         assert_eq!(service.runs()["k1"], 1);
@@ -161,12 +161,12 @@
         let rig = Rig::new(&executor, &[], &[service.address]);
         let node = rig.node(1).await;
         rig.open(&node).await;
-        service.behave(Behaviour::RunAndClose);
+        service.set_behaviour(Behaviour::RunAndClose);
         node.client.service(&call(1, "loose"), "search", "find", "", true).await.unwrap();
         assert_eq!(service.runs()["loose"], 3, "the baseline makes three attempts");
-        service.behave(Behaviour::Answer);
+        service.set_behaviour(Behaviour::Answer);
         node.client.service(&call(1, "loose"), "search", "find", "", true).await.unwrap();
-        service.behave(Behaviour::RunAndClose);
+        service.set_behaviour(Behaviour::RunAndClose);
         node.client.service(&call(2, "strict"), "search", "find", "", false).await.unwrap();
         assert_eq!(service.runs()["strict"], 1);
     });
@@ -179,10 +179,10 @@
         let rig = Rig::new(&executor, &[], &[service.address]);
         let node = rig.node(1).await;
         rig.open(&node).await;
-        service.behave(Behaviour::Fail);
+        service.set_behaviour(Behaviour::Fail);
         let failed = node.client.service(&call(1, "k1"), "rota", "book", "ward 3", true).await.unwrap();
         assert_eq!((failed.status, &failed.json()["body"]), (500, &json!("ward 3")));
-        service.behave(Behaviour::Answer);
+        service.set_behaviour(Behaviour::Answer);
         let again = node.client.service(&call(1, "k1"), "rota", "book", "ward 3", true).await.unwrap();
         assert_eq!((again.status, again.body), (500, failed.body));
         assert_eq!(service.runs()["k1"], 1);
@@ -197,7 +197,7 @@
         let rig = Rig::new(&executor, &[], &[gone.address]);
         let node = rig.node(1).await;
         rig.open(&node).await;
-        gone.behave(Behaviour::NotRun);
+        gone.set_behaviour(Behaviour::NotRun);
         let refused = node.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
         assert_eq!((refused.status, &refused.json()["outcome"]), (503, &json!("not_run")));
         assert!(refused.retry_after.is_some());
@@ -281,7 +281,7 @@
         let client = first.client;
         let chatting = executor.spawn(async move {
             let watch = |_: &[u8]| seen_tx.try_send(()).unwrap_or_default();
-            client.chat_watched(&call(1, "k1"), &chat(), watch).await.map(|_| ())
+            client.chat_with_progress(&call(1, "k1"), &chat(), watch).await.map(|_| ())
         });
         seen.recv().await.unwrap();
         drop(chatting);
@@ -305,11 +305,11 @@
         let rig = Rig::new(&executor, &[], &[service.address]);
         let node = rig.node(1).await;
         rig.open(&node).await;
-        service.behave(Behaviour::Hang);
+        service.set_behaviour(Behaviour::Hang);
         let client = node.client;
         let booking = executor
             .spawn(async move { client.service(&call(1, "k1"), "rota", "book", "", true).await.map(|_| ()) });
-        service.arrival().await;
+        service.wait_for_request().await;
         drop(booking);
         while node.entry.in_flight() > 1 {
             smol::future::yield_now().await;
@@ -336,15 +336,15 @@
         rig.open(&node).await;
         let patience = Duration::from_secs(10);
         for (number, key, name) in [(1, "k1", "search"), (2, "k2", "rota")] {
-            forwarder.swallow_new(true);
-            let before = forwarder.swallowed();
+            forwarder.blackhole_new(true);
+            let before = forwarder.dropped_bytes();
             let client = node.client;
             let calling =
                 executor.spawn(async move { client.service(&call(number, key), name, "x", "", true).await });
-            while forwarder.swallowed() == before {
+            while forwarder.dropped_bytes() == before {
                 smol::future::yield_now().await;
             }
-            forwarder.swallow_new(false);
+            forwarder.blackhole_new(false);
             for _ in 0..8 {
                 rig.timer.armed(patience / 8).await;
                 rig.timer.advance(patience / 8);
@@ -425,7 +425,7 @@
         let client = node.client;
         let chatting = executor.spawn(async move {
             let watch = |_: &[u8]| seen_tx.try_send(()).unwrap_or_default();
-            client.chat_watched(&call(1, "k1"), &chat(), watch).await
+            client.chat_with_progress(&call(1, "k1"), &chat(), watch).await
         });
         seen.recv().await.unwrap();
         node.entry.stopping.set(true);
--- a/agatetrestle/tests/cluster/mod.rs
+++ b/agatetrestle/tests/cluster/mod.rs
@@ -105,8 +105,8 @@
     pub fn isolate(&self, id: u64) {
         for ((from, to), forwarder) in &*self.forwarders.borrow() {
             if *from == id || *to == id {
-                forwarder.swallow_new(true);
-                forwarder.forget();
+                forwarder.blackhole_new(true);
+                forwarder.blackhole_existing();
             }
         }
     }
@@ -114,8 +114,8 @@
     /// Ends a cut; what was open during it stays silent.
     pub fn heal(&self) {
         for forwarder in self.forwarders.borrow().values() {
-            forwarder.swallow_new(false);
-            forwarder.forget();
+            forwarder.blackhole_new(false);
+            forwarder.blackhole_existing();
         }
     }
 
--- a/agatetrestle/tests/hostile.rs
+++ b/agatetrestle/tests/hostile.rs
@@ -250,7 +250,7 @@
 #[test]
 fn a_caller_that_does_not_read_holds_up_nobody() {
     run(async |executor| {
-        let config = EngineConfig { tokens: UNREAD_TOKENS, ..EngineConfig::default() };
+        let config = EngineConfig { output_tokens: UNREAD_TOKENS, ..EngineConfig::default() };
         let engine = Engine::start(&executor, config).await.unwrap();
         let rig = Rig::new(&executor, &[engine.address], &[]);
         let node = rig.node(1).await;
--- a/agatetrestle/tests/support/mod.rs
+++ b/agatetrestle/tests/support/mod.rs
@@ -384,7 +384,7 @@
 
 /// A streamed model call.
 pub fn chat() -> Value {
-    agatetrestle_fakes::client::chat_form("small", "You find replacements.", "Ana is ill.", 8)
+    agatetrestle_fakes::client::chat_body("small", "You find replacements.", "Ana is ill.", 8)
 }
 
 /// Runs a test on an executor of its own.
--- a/agatetrestle/tests/upkeep.rs
+++ b/agatetrestle/tests/upkeep.rs
@@ -20,7 +20,7 @@
 use agatetrestle::scheduler::event::Work;
 use agatetrestle_fakes::Engine;
 use agatetrestle_fakes::EngineConfig;
-use agatetrestle_fakes::client::chat_form;
+use agatetrestle_fakes::client::chat_body;
 
 use crate::support::PROGRAM;
 use crate::support::Rig;
@@ -100,7 +100,7 @@
         let calls = Rc::clone(&node.entry.dispatcher);
         executor.spawn(async move { calls.run_background().await }).detach();
         rig.open(&node).await;
-        let form = chat_form("small", &"You find replacements. ".repeat(60), "Ana is ill.", 2);
+        let form = chat_body("small", &"You find replacements. ".repeat(60), "Ana is ill.", 2);
         node.client.chat(&call(1, "k1"), &form).await.unwrap();
         assert!(engine.cached_blocks() > 4);
 
@@ -115,8 +115,8 @@
         assert_eq!(told.borrow().stored, told.borrow().asked, "both sides hash blocks alike");
 
         node.client.end(PROGRAM).await.unwrap();
-        engine.ordered().await;
-        assert_eq!(engine.orders(), [(PROGRAM.to_owned(), "release".to_owned())]);
+        engine.wait_for_cache_order().await;
+        assert_eq!(engine.cache_orders(), [(PROGRAM.to_owned(), "release".to_owned())]);
         assert_eq!(engine.cached_blocks(), 0);
         report(2).await;
         assert_eq!(told.borrow().evicted, told.borrow().asked);
--- a/agatetrestle_fakes/examples/fakes.rs
+++ b/agatetrestle_fakes/examples/fakes.rs
@@ -19,12 +19,12 @@
 
 fn main() -> std::io::Result<()> {
     let pace = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(20);
-    let per_token = Duration::from_millis(pace);
+    let token_delay = Duration::from_millis(pace);
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let mut engines = Vec::new();
         for port in ENGINES {
-            let config = EngineConfig { port, tokens: TOKENS, per_token, ..EngineConfig::default() };
+            let config = EngineConfig { port, output_tokens: TOKENS, token_delay, ..EngineConfig::default() };
             engines.push(Engine::start(&executor, config).await?);
         }
         let rota = Tool::start_at(&executor, ROTA, TOOL_PAUSE).await?;
--- a/agatetrestle_fakes/examples/load/main.rs
+++ b/agatetrestle_fakes/examples/load/main.rs
@@ -17,7 +17,7 @@
 use agatetrestle_fakes::Client;
 use agatetrestle_fakes::client::Call;
 use agatetrestle_fakes::client::ClientError;
-use agatetrestle_fakes::client::chat_form;
+use agatetrestle_fakes::client::chat_body;
 use serde_json::Value;
 use serde_json::json;
 use smol::LocalExecutor;
@@ -120,7 +120,7 @@
 /// Calls in turn straight to the engine and through a node, so that both meet the same machine. Each program
 /// is opened on one node and called on the next.
 async fn added_time(plan: &Plan, name: &str, nodes: &[Client]) -> Result<(), LoadError> {
-    let form = chat_form(MODEL, "You find replacements.", "Ana is ill.", SHORT_ANSWER);
+    let form = chat_body(MODEL, "You find replacements.", "Ana is ill.", SHORT_ANSWER);
     let (mut direct, mut through, mut commit) = (Samples::default(), Samples::default(), Samples::default());
     let run = std::process::id();
     let turns = nodes.iter().cycle().zip(nodes.iter().cycle().skip(1));
@@ -141,7 +141,7 @@
 
 /// Streams side by side; the node's processor time a token follows from its process.
 async fn token_cost(executor: &Rc<LocalExecutor<'static>>, plan: &Plan) -> Result<(), LoadError> {
-    let form = chat_form(MODEL, "You find replacements.", "Ana is ill.", LONG_ANSWER);
+    let form = chat_body(MODEL, "You find replacements.", "Ana is ill.", LONG_ANSWER);
     let run = std::process::id();
     let mut programs = Vec::new();
     for number in 0..plan.streams {
--- a/agatetrestle_fakes/src/client.rs
+++ b/agatetrestle_fakes/src/client.rs
@@ -36,7 +36,7 @@
     },
     /// The address answer or a path could not be read.
     #[snafu(display("unusable: {text}"))]
-    Unusable {
+    Malformed {
         /// What could not be read.
         text: String,
     },
@@ -128,7 +128,7 @@
         let list = reply.json()["addresses"].as_array().cloned().unwrap_or_default();
         let parsed: Option<Vec<SocketAddr>> =
             list.iter().map(|a| a.as_str().and_then(|text| text.parse().ok())).collect();
-        parsed.ok_or_else(|| ClientError::Unusable { text: reply.json().to_string() })
+        parsed.ok_or_else(|| ClientError::Malformed { text: reply.json().to_string() })
     }
 
     /// Opens a program from its JSON form.
@@ -149,7 +149,7 @@
     ///
     /// Fails without a whole answer.
     pub async fn chat(&self, call: &Call, form: &Value) -> Result<Reply, ClientError> {
-        self.chat_watched(call, form, |_| ()).await
+        self.chat_with_progress(call, form, |_| ()).await
     }
 
     /// Makes a model call and shows each part of the answer as it comes.
@@ -157,7 +157,7 @@
     /// # Errors
     ///
     /// Fails without a whole answer.
-    pub async fn chat_watched(
+    pub async fn chat_with_progress(
         &self,
         call: &Call,
         form: &Value,
@@ -223,7 +223,7 @@
     /// Fails on a malformed path.
     pub fn request(&self, method: Method, path: &str) -> Result<Request, ClientError> {
         let url = Url::parse(&format!("http://{}{path}", self.address));
-        let url = url.map_err(|e| ClientError::Unusable { text: format!("{path}: {e}") })?;
+        let url = url.map_err(|e| ClientError::Malformed { text: format!("{path}: {e}") })?;
         Ok(Request::new(method, url))
     }
 
@@ -286,7 +286,7 @@
 
 /// A streamed chat-completions request with one user message after a system prompt.
 #[must_use]
-pub fn chat_form(model: &str, system: &str, user: &str, max_tokens: u64) -> Value {
+pub fn chat_body(model: &str, system: &str, user: &str, max_tokens: u64) -> Value {
     let messages = json!([{ "role": "system", "content": system }, { "role": "user", "content": user }]);
     json!({ "model": model, "stream": true, "max_tokens": max_tokens, "messages": messages })
 }
--- a/agatetrestle_fakes/src/engine.rs
+++ b/agatetrestle_fakes/src/engine.rs
@@ -35,11 +35,11 @@
     /// Port it listens on, 0 for one that the operating system chooses.
     pub port: u16,
     /// Tokens of each answer, unless the request allows fewer.
-    pub tokens: u64,
+    pub output_tokens: u64,
     /// Time before the first token.
-    pub first_token: Duration,
+    pub first_token_delay: Duration,
     /// Time before each further token.
-    pub per_token: Duration,
+    pub token_delay: Duration,
     /// Blocks of 64 tokens that the prefix cache holds.
     pub cache_blocks: usize,
     /// Each token waits for a permit from here, where it is set; a closed channel lets all pass.
@@ -52,9 +52,9 @@
     fn default() -> Self {
         Self {
             port: 0,
-            tokens: 16,
-            first_token: Duration::ZERO,
-            per_token: Duration::ZERO,
+            output_tokens: 16,
+            first_token_delay: Duration::ZERO,
+            token_delay: Duration::ZERO,
             cache_blocks: 4096,
             gate: None,
             break_after: 2,
@@ -64,7 +64,7 @@
 
 /// One request as the engine saw it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// Program of the call.
     pub program: String,
     /// Number of the call.
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 struct State {
     config: EngineConfig,
-    requests: RefCell<Vec<Seen>>,
+    requests: RefCell<Vec<ReceivedRequest>>,
     running: Cell<u32>,
     cancelled: Cell<u32>,
     breaks: Cell<u32>,
@@ -145,7 +145,7 @@
 
     /// The requests it saw, in order of arrival.
     #[must_use]
-    pub fn requests(&self) -> Vec<Seen> {
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.state.requests.borrow().clone()
     }
 
@@ -163,12 +163,12 @@
 
     /// The orders about its cache, as program and order.
     #[must_use]
-    pub fn orders(&self) -> Vec<(String, String)> {
+    pub fn cache_orders(&self) -> Vec<(String, String)> {
         self.state.orders.borrow().clone()
     }
 
     /// Waits until a further order has come.
-    pub async fn ordered(&self) {
+    pub async fn wait_for_cache_order(&self) {
         self.state.orders_seen.recv().await.ok();
     }
 
@@ -257,7 +257,7 @@
     let program = header(request, "Agatetrestle-Program");
     let found = state.cache.borrow_mut().visit(&program, &prompt, state.config.cache_blocks);
     let count = |value: usize| u64::try_from(value).unwrap_or(u64::MAX);
-    let seen = Seen {
+    let seen = ReceivedRequest {
         program,
         call: header(request, "Agatetrestle-Call"),
         key: header(request, "Idempotency-Key"),
@@ -267,7 +267,7 @@
     };
     let answer = Answer {
         id: format!("{}#{}", seen.program, seen.call),
-        tokens: state.config.tokens.min(form["max_tokens"].as_u64().unwrap_or(u64::MAX)),
+        tokens: state.config.output_tokens.min(form["max_tokens"].as_u64().unwrap_or(u64::MAX)),
         prompt: seen.prompt_tokens,
         cached: seen.cached_tokens,
         breaks: take_one(&state.breaks),
@@ -296,7 +296,7 @@
     if let Some(gate) = &state.config.gate {
         gate.recv().await.ok();
     }
-    let span = if number == 0 { state.config.first_token } else { state.config.per_token };
+    let span = if number == 0 { state.config.first_token_delay } else { state.config.token_delay };
     server::pause(span).await;
 }
 
--- a/agatetrestle_fakes/src/forwarder.rs
+++ b/agatetrestle_fakes/src/forwarder.rs
@@ -64,13 +64,13 @@
     }
 
     /// Forgets all connections there are: from now on they swallow every byte; new ones work.
-    pub fn forget(&self) {
+    pub fn blackhole_existing(&self) {
         self.state.generation.set(self.state.generation.get() + 1);
     }
 
     /// Whether connections made from now on swallow every byte too.
-    pub fn swallow_new(&self, swallow: bool) {
-        self.state.swallows_new.set(swallow);
+    pub fn blackhole_new(&self, enabled: bool) {
+        self.state.swallows_new.set(enabled);
     }
 
     /// Connections accepted so far.
@@ -81,7 +81,7 @@
 
     /// Bytes swallowed so far.
     #[must_use]
-    pub fn swallowed(&self) -> u64 {
+    pub fn dropped_bytes(&self) -> u64 {
         self.state.swallowed.get()
     }
 }
--- a/agatetrestle_fakes/src/service.rs
+++ b/agatetrestle_fakes/src/service.rs
@@ -96,7 +96,7 @@
     }
 
     /// Changes what it does with requests that come from now on.
-    pub fn behave(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.state.behaviour.set(behaviour);
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Waits until a further request has arrived.
-    pub async fn arrival(&self) {
+    pub async fn wait_for_request(&self) {
         self.state.arrivals.recv().await.ok();
     }
 }
