--- a/agatetrestle/src/node/group.rs
+++ b/agatetrestle/src/node/group.rs
@@ -1,5 +1,5 @@
-//! The driver of one replica: it feeds the pure state machine of [`crate::agreement`] and carries
-//! out what it asks for. Writes go to a blocking thread, many to one sync.
+//! The driver of one replica: passes inputs to the I/O-free replica of [`crate::agreement`] and executes its outputs.
+//! Writes run on a blocking thread, batched so that many share one sync.
 
 mod apply;
 mod encoding;
@@ -8,7 +8,7 @@
 mod refusals;
 mod writes;
 
-pub use self::writes::Jobs;
+pub use self::writes::StorageJobs;
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -44,75 +44,75 @@
 use crate::clock::Timestamp;
 use crate::ids::GroupId;
 use crate::node::group::apply::Backlog;
-use crate::node::group::apply::Due;
-use crate::node::group::encoding::Coder;
-use crate::node::group::install::HeldBack;
+use crate::node::group::apply::BacklogItem;
+use crate::node::group::encoding::EncodeQueue;
+use crate::node::group::install::DeferredCommands;
 use crate::node::group::refusals::Refusals;
-use crate::node::group::writes::Done;
-use crate::node::group::writes::Job;
+use crate::node::group::writes::BatchResult;
+use crate::node::group::writes::StorageJob;
 use crate::node::group::writes::WriteError;
-use crate::node::group::writes::carry_out;
+use crate::node::group::writes::execute_batch;
 
-/// Pause before the storage is opened again after a write failed.
-const REOPEN_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before the storage is reopened after a failed write.
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
 
-/// What became of a proposal or read.
+/// Outcome of a proposal or read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ProposalOutcome {
-    /// The command was applied; this is the coded reply.
+    /// The command was applied; holds the encoded reply.
     Applied(Vec<u8>),
-    /// The state machine may be read now.
+    /// The state machine may be read.
     Ready,
     /// The change of replicas is committed.
     Changed,
-    /// It did not enter the log.
+    /// The request did not enter the log.
     Rejected(Rejection),
-    /// It may yet be applied.
+    /// The command may still be applied.
     Unknown,
 }
 
-/// Fetches history from another replica, from an offset on; none where no replica has it.
+/// Fetches history from another replica, starting at an offset; `None` if no replica has it.
 pub type HistorySource = Rc<dyn Fn(u64) -> LocalBoxFuture<'static, Option<Vec<u8>>>>;
 
-/// Opens the storage again after a write failed.
+/// Reopens the storage after a failed write.
 pub type Reopen = Rc<dyn Fn() -> LocalBoxFuture<'static, Result<(Storage, Restored), StorageError>>>;
 
-/// Makes a replica from what its storage holds.
+/// Creates a replica from its persistent state.
 pub type MakeReplica = Rc<dyn Fn(Restored, Timestamp) -> Replica>;
 
-/// Sends a message to another node; losing it is harmless.
+/// Sends a message to another node; messages may be lost.
 pub type Outbox = Rc<dyn Fn(Message)>;
 
-/// One replica with its state machine, storage and waiting proposals.
+/// A replica of a group with its state machine, storage queue and pending proposals.
 pub struct Group<M: StateMachine> {
     id: GroupId,
     clock: Clock,
     replica: RefCell<Replica>,
     machine: RefCell<M>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<ProposalOutcome>>>,
+    waiters: RefCell<HashMap<Ticket, oneshot::Sender<ProposalOutcome>>>,
     next_ticket: Cell<u64>,
-    jobs: Sender<Job>,
+    jobs: Sender<StorageJob>,
     outbox: Outbox,
-    /// The committed set, for snapshots; the replica itself already acts on one that is not committed.
+    /// The committed replica set, for snapshots. [`Replica`] also acts on a set that is not committed yet.
     replicas: RefCell<Replicas>,
     applied: Cell<Position>,
-    /// Committed commands that are not applied yet.
+    /// Committed items that are not applied yet.
     backlog: Backlog,
     bytes_since_snapshot: Cell<u64>,
     snapshot_after: u64,
-    coder: Coder,
+    encode_queue: EncodeQueue,
     history_source: HistorySource,
     reopen: Reopen,
     make_replica: MakeReplica,
-    blank: Vec<u8>,
-    /// Commands that came after a received snapshot that is not in place yet.
-    held: RefCell<Option<HeldBack>>,
+    initial_state: Vec<u8>,
+    /// Commands committed after a received snapshot that is not installed yet.
+    deferred: RefCell<Option<DeferredCommands>>,
     refusals: Refusals,
 }
 
-/// What a group is made of.
+/// Arguments of [`Group::new`].
 pub struct GroupParts<M: StateMachine> {
-    /// The group.
+    /// Id of the group.
     pub id: GroupId,
     /// The process's clock.
     pub clock: Clock,
@@ -120,35 +120,35 @@
     pub replica: Replica,
     /// The state machine as restored from the snapshot.
     pub machine: M,
-    /// Where messages go.
+    /// Sends the replica's messages.
     pub outbox: Outbox,
-    /// The committed set as of the restored snapshot.
+    /// The committed replica set as of the restored snapshot.
     pub replicas: Replicas,
     /// The last entry that the restored snapshot covers.
     pub applied: Position,
-    /// A snapshot is taken after this many bytes of commands.
+    /// Bytes of applied commands after which a snapshot is taken.
     pub snapshot_after: u64,
-    /// Where history comes from that a received snapshot relies on.
+    /// Fetches the history that a received snapshot refers to.
     pub history_source: HistorySource,
-    /// Opens the storage again after a write failed.
+    /// Reopens the storage after a failed write.
     pub reopen: Reopen,
-    /// Makes the replica then.
+    /// Recreates the replica from the reopened storage.
     pub make_replica: MakeReplica,
-    /// The coded state machine before its first command, for a storage without a snapshot.
-    pub blank: Vec<u8>,
+    /// The encoded state machine before its first command, for storage without a snapshot.
+    pub initial_state: Vec<u8>,
 }
 
 impl<M: StateMachine + 'static> Group<M> {
-    /// Puts a group together; [`Group::run`] then drives it.
+    /// Creates a group and its storage queue, to be driven by [`Group::run`].
     #[must_use]
-    pub fn new(parts: GroupParts<M>) -> (Rc<Self>, Jobs) {
+    pub fn new(parts: GroupParts<M>) -> (Rc<Self>, StorageJobs) {
         let (jobs, inbox) = smol::channel::unbounded();
         let group = Rc::new(Self {
             id: parts.id,
             clock: parts.clock,
             replica: RefCell::new(parts.replica),
             machine: RefCell::new(parts.machine),
-            waiting: RefCell::default(),
+            waiters: RefCell::default(),
             next_ticket: Cell::new(1),
             jobs,
             outbox: parts.outbox,
@@ -157,35 +157,35 @@
             backlog: Backlog::default(),
             bytes_since_snapshot: Cell::new(0),
             snapshot_after: parts.snapshot_after,
-            coder: Coder::default(),
+            encode_queue: EncodeQueue::default(),
             history_source: parts.history_source,
             reopen: parts.reopen,
             make_replica: parts.make_replica,
-            blank: parts.blank,
-            held: RefCell::new(None),
+            initial_state: parts.initial_state,
+            deferred: RefCell::new(None),
             refusals: Refusals::default(),
         });
-        (group, Jobs(inbox))
+        (group, StorageJobs(inbox))
     }
 
-    /// Drives the replica's clock and storage until the task is dropped.
-    pub async fn run(self: Rc<Self>, storage: Storage, jobs: Jobs, tick: Duration) {
+    /// Runs the timers, storage writes, application of commands and snapshot encoding until the task is dropped.
+    pub async fn run(self: Rc<Self>, storage: Storage, jobs: StorageJobs, tick: Duration) {
         let ticking = self.clone().tick_forever(tick);
         let writing = self.clone().write_forever(storage, jobs);
         let applying = self.clone().apply_forever();
-        let coding = self.code_forever();
-        futures::future::join4(ticking, writing, applying, coding).await;
+        let encoding = self.encode_forever();
+        futures::future::join4(ticking, writing, applying, encoding).await;
     }
 
     async fn tick_forever(self: Rc<Self>, tick: Duration) {
         loop {
             Timer::after(tick).await;
-            self.feed(Input::Tick);
-            self.tell_refusals();
+            self.process(Input::Tick);
+            self.log_refusals();
         }
     }
 
-    async fn write_forever(self: Rc<Self>, mut storage: Storage, jobs: Jobs) {
+    async fn write_forever(self: Rc<Self>, mut storage: Storage, jobs: StorageJobs) {
         while let Ok(first) = jobs.0.recv().await {
             let mut batch = vec![first];
             while let Ok(job) = jobs.0.try_recv() {
@@ -194,88 +194,88 @@
             storage = match self.write(storage, batch).await {
                 Ok(storage) => storage,
                 Err(failure) => {
-                    error!("Group {} could not write its log: {failure}.", self.id.0);
-                    self.feed(Input::WriteFailed);
+                    error!("Group {} failed to write its log: {failure}.", self.id.0);
+                    self.process(Input::WriteFailed);
                     self.recover(&jobs).await
                 }
             };
         }
     }
 
-    /// Carries out a batch. On failure the storage is closed, because what it holds is then in doubt.
-    async fn write(&self, mut storage: Storage, batch: Vec<Job>) -> Result<Storage, WriteError> {
-        let mut relies_on = Vec::new();
+    /// Executes a batch. On failure the storage is closed, because its contents are then uncertain.
+    async fn write(&self, mut storage: Storage, batch: Vec<StorageJob>) -> Result<Storage, WriteError> {
+        let mut history_files = Vec::new();
         for job in &batch {
-            if let Job::Write(Write { snapshot: Some(snapshot), .. }) = job {
-                relies_on.extend(self.put_in_place(snapshot).await?);
+            if let StorageJob::Write(Write { snapshot: Some(snapshot), .. }) = job {
+                history_files.extend(self.install_snapshot(snapshot).await?);
             }
         }
-        let (storage, done) = smol::unblock(move || {
-            let done = carry_out(&mut storage, &relies_on, batch);
-            (storage, done)
+        let (storage, result) = smol::unblock(move || {
+            let result = execute_batch(&mut storage, &history_files, batch);
+            (storage, result)
         })
         .await;
-        self.report(done?);
+        self.handle_batch_result(result?);
         Ok(storage)
     }
 
-    /// Opens the storage again until that succeeds, such as once a full disk has space, and goes on from
-    /// what it holds.
-    async fn recover(&self, jobs: &Jobs) -> Storage {
+    /// Reopens the storage until that succeeds, such as when a full disk has space again, and rebuilds the replica from
+    /// it.
+    async fn recover(&self, jobs: &StorageJobs) -> Storage {
         loop {
-            Timer::after(REOPEN_PAUSE).await;
+            Timer::after(REOPEN_DELAY).await;
             match (self.reopen)().await {
                 Ok((storage, restored)) => match self.rebuild(restored, jobs) {
                     Ok(()) => return storage,
-                    Err(failure) => error!("Group {} can't go on from its files: {failure}.", self.id.0),
+                    Err(failure) => error!("Group {} failed to rebuild from storage: {failure}.", self.id.0),
                 },
-                Err(failure) => warn!("Group {} can't open its log: {failure}.", self.id.0),
+                Err(failure) => warn!("Group {} failed to reopen its log: {failure}.", self.id.0),
             }
         }
     }
 
-    fn rebuild(&self, restored: Restored, jobs: &Jobs) -> Result<(), RestoreError> {
-        // What the failed replica still wanted written must not reach the log of the new one.
+    fn rebuild(&self, restored: Restored, jobs: &StorageJobs) -> Result<(), RestoreError> {
+        // Queued writes of the failed replica must not reach the log of the new one.
         while jobs.0.try_recv().is_ok() {}
-        self.drop_due();
+        self.fail_backlog();
         let snapshot = restored.snapshot.as_ref();
-        let data = snapshot.map_or(&self.blank[..], |snapshot| &snapshot.data);
+        let data = snapshot.map_or(&self.initial_state[..], |snapshot| &snapshot.data);
         self.machine.borrow_mut().restore(data)?;
         self.applied.set(snapshot.map_or(Position::default(), |snapshot| snapshot.position));
         self.replicas.replace(snapshot.map_or_else(Replicas::default, |snapshot| snapshot.replicas.clone()));
-        self.held.take();
+        self.deferred.take();
         self.bytes_since_snapshot.set(0);
-        self.coder.begin_life();
+        self.encode_queue.reset();
         let replica = (self.make_replica)(restored, self.clock.now());
         self.replica.replace(replica);
-        info!("Group {} goes on from its files.", self.id.0);
+        info!("Group {} was rebuilt from storage.", self.id.0);
         Ok(())
     }
 
-    fn report(&self, done: Done) {
-        if let Some(sequence) = done.written {
-            self.feed(Input::Written(sequence));
+    fn handle_batch_result(&self, result: BatchResult) {
+        if let Some(sequence) = result.written {
+            self.process(Input::Written(sequence));
         }
-        if let Some(failure) = done.snapshot_failure {
-            // The log is whole without the snapshot, so the replica goes on.
-            error!("Group {} could not save a snapshot: {failure}.", self.id.0);
-            self.coder.saved();
+        if let Some(failure) = result.snapshot_failure {
+            // The log is complete without the snapshot, so the replica continues.
+            error!("Group {} failed to save a snapshot: {failure}.", self.id.0);
+            self.encode_queue.clear_disk_pending();
         }
-        if let Some(snapshot) = done.snapshot {
-            self.coder.saved();
-            self.feed(Input::SnapshotTaken { position: snapshot.position });
+        if let Some(snapshot) = result.snapshot {
+            self.encode_queue.clear_disk_pending();
+            self.process(Input::SnapshotTaken { position: snapshot.position });
         }
     }
 
-    /// Hands a message from another node to the replica, and returns what it answers to that node at once.
-    /// Answers that wait for a write go out later like any other message.
+    /// Passes a message from another node to the replica and returns its immediate replies to that node. Replies that
+    /// wait for a write are sent later like any other message.
     pub fn receive(&self, message: Message) -> Vec<Message> {
         let from = message.from;
         let mut replies = Vec::new();
         for output in self.step(Input::Receive(message)) {
             match output {
                 Output::Send(reply) if reply.to == from => replies.push(reply),
-                output => self.carry_out(output),
+                output => self.handle_output(output),
             }
         }
         self.apply_slice();
@@ -283,32 +283,32 @@
         replies
     }
 
-    /// Commits a command and returns its coded reply.
+    /// Commits a command and returns its encoded reply.
     pub async fn submit(&self, payload: Arc<[u8]>) -> ProposalOutcome {
-        self.ask(|ticket| Input::Propose { ticket, payload }).await
+        self.request(|ticket| Input::Propose { ticket, payload }).await
     }
 
-    /// Waits until the state machine may be read as of now; only the leader's may.
+    /// Waits until a read of the state machine is linearizable, which only the leader's can be.
     pub async fn read_barrier(&self) -> ProposalOutcome {
-        self.ask(Input::Read).await
+        self.request(Input::Read).await
     }
 
-    /// Changes who takes part.
+    /// Changes the replica set.
     pub async fn change_replicas(&self, change: ReplicaChange) -> ProposalOutcome {
-        self.ask(|ticket| Input::ChangeReplicas { ticket, change }).await
+        self.request(|ticket| Input::ChangeReplicas { ticket, change }).await
     }
 
-    /// Hands leadership to another replica before a planned stop.
+    /// Starts to transfer leadership to another replica, before a planned stop.
     pub fn transfer_leadership(&self) {
-        self.feed(Input::HandOver);
+        self.process(Input::HandOver);
     }
 
-    async fn ask(&self, input: impl FnOnce(Ticket) -> Input) -> ProposalOutcome {
+    async fn request(&self, input: impl FnOnce(Ticket) -> Input) -> ProposalOutcome {
         let ticket = Ticket(self.next_ticket.get());
         self.next_ticket.set(ticket.0 + 1);
         let (tx, rx) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, tx);
-        self.feed(input(ticket));
+        self.waiters.borrow_mut().insert(ticket, tx);
+        self.process(input(ticket));
         rx.await.unwrap_or(ProposalOutcome::Unknown)
     }
 
@@ -317,40 +317,40 @@
         self.replica.borrow_mut().step(now, input)
     }
 
-    fn feed(&self, input: Input) {
+    fn process(&self, input: Input) {
         for output in self.step(input) {
-            self.carry_out(output);
+            self.handle_output(output);
         }
         self.apply_slice();
         self.snapshot_if_due();
     }
 
-    fn carry_out(&self, output: Output) {
+    fn handle_output(&self, output: Output) {
         match output {
-            Output::Write(write) => self.enqueue(Job::Write(write)),
+            Output::Write(write) => self.enqueue(StorageJob::Write(write)),
             Output::Send(message) => (self.outbox)(message),
             Output::Apply { position, payload, ticket } => {
-                self.backlog.push(Due::Apply { position, payload, ticket });
+                self.backlog.push(BacklogItem::Apply { position, payload, ticket });
             }
-            Output::ReadReady(ticket) => self.backlog.push(Due::Read(ticket)),
+            Output::ReadReady(ticket) => self.backlog.push(BacklogItem::Read(ticket)),
             Output::Replicas { ticket, replicas } => {
-                self.backlog.push(Due::Replicas { ticket, replicas });
+                self.backlog.push(BacklogItem::Replicas { ticket, replicas });
             }
-            Output::CodeSnapshot => self.code_snapshot(),
-            // The write of the same snapshot puts it in place once its history is here. Commands held for an
-            // earlier one are covered by this one.
+            Output::CodeSnapshot => self.encode_peer_snapshot(),
+            // The write of this snapshot installs it once its history is fetched. The snapshot covers commands that were
+            // deferred for an earlier one.
             Output::Restore(snapshot) => {
                 self.apply_all();
-                self.coder.begin_life();
-                self.held.replace(Some(HeldBack::new(snapshot.position)));
+                self.encode_queue.reset();
+                self.deferred.replace(Some(DeferredCommands::new(snapshot.position)));
             }
             Output::Reject { ticket, reason } => {
                 if reason == Rejection::Busy {
-                    self.refusals.note(self.clock.now());
+                    self.refusals.record(self.clock.now());
                 }
-                self.answer(ticket, ProposalOutcome::Rejected(reason));
+                self.complete(ticket, ProposalOutcome::Rejected(reason));
             }
-            Output::Unknown(ticket) => self.answer(ticket, ProposalOutcome::Unknown),
+            Output::Unknown(ticket) => self.complete(ticket, ProposalOutcome::Unknown),
             Output::Role { term, leader } => {
                 let leader = leader.map_or(0, |node| node.0);
                 info!("Group {} is in term {term} with leader {leader}.", self.id.0);
@@ -358,16 +358,16 @@
         }
     }
 
-    fn enqueue(&self, job: Job) {
+    fn enqueue(&self, job: StorageJob) {
         if self.jobs.try_send(job).is_err() {
-            warn!("Group {} is stopping and takes no more writes.", self.id.0);
+            warn!("Group {} is stopping; dropped a write.", self.id.0);
         }
     }
 
-    fn answer(&self, ticket: Ticket, verdict: ProposalOutcome) {
-        if let Some(tx) = self.waiting.borrow_mut().remove(&ticket) {
-            // A caller that gave up has dropped its end, which is no failure.
-            let _ = tx.send(verdict);
+    fn complete(&self, ticket: Ticket, outcome: ProposalOutcome) {
+        if let Some(tx) = self.waiters.borrow_mut().remove(&ticket) {
+            // A caller that gave up has dropped the receiver, which is not an error.
+            let _ = tx.send(outcome);
         }
     }
 }
--- a/agatetrestle/src/node/group/apply.rs
+++ b/agatetrestle/src/node/group/apply.rs
@@ -1,8 +1,7 @@
-//! Committed commands on their way to the state machine, in slices.
+//! Applies committed commands to the state machine in slices.
 //!
-//! After a start a replica applies its whole log, which takes seconds on a small share of a core. Done in one go that
-//! would silence it for longer than an election lasts, and the group would elect one leader after the other;
-//! docs/incidents/003-stores-over-their-memory.md has such a day.
+//! A replica that starts applies its whole log, which can take seconds. Without yielding it would miss heartbeats for
+//! longer than an election timeout and cause repeated elections; see docs/incidents/003-stores-over-their-memory.md.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -20,38 +19,42 @@
 use crate::node::group::Group;
 use crate::node::group::ProposalOutcome;
 
-/// Commands applied before others get the processor: a millisecond or two of work, far below any interval of the
-/// group.
-const SLICE: usize = 64;
-
-/// Something that must wait until all commands before it are applied.
-pub(super) enum Due {
-    /// A committed command.
-    Apply { position: Position, payload: Arc<[u8]>, ticket: Option<Ticket> },
-    /// A read.
+/// Items applied before yielding to other tasks.
+const MAX_SLICE_ITEMS: usize = 64;
+
+/// An item that must wait until all commands before it are applied.
+pub(super) enum BacklogItem {
+    Apply {
+        position: Position,
+        payload: Arc<[u8]>,
+        ticket: Option<Ticket>,
+    },
+    /// A read, completed once the state machine is up to date.
     Read(Ticket),
-    /// A committed set of replicas.
-    Replicas { ticket: Option<Ticket>, replicas: Replicas },
+    Replicas {
+        ticket: Option<Ticket>,
+        replicas: Replicas,
+    },
 }
 
-/// What is due, in order, and a bell for when it did not fit into one slice.
+/// Items to apply, in order, and a channel that wakes the background task when they exceed one slice.
 pub(super) struct Backlog {
-    queue: RefCell<VecDeque<Due>>,
-    bell: (Sender<()>, Receiver<()>),
+    queue: RefCell<VecDeque<BacklogItem>>,
+    wakeup: (Sender<()>, Receiver<()>),
 }
 
 impl Default for Backlog {
     fn default() -> Self {
-        Self { queue: RefCell::default(), bell: smol::channel::bounded(1) }
+        Self { queue: RefCell::default(), wakeup: smol::channel::bounded(1) }
     }
 }
 
 impl Backlog {
-    pub(super) fn push(&self, due: Due) {
-        self.queue.borrow_mut().push_back(due);
+    pub(super) fn push(&self, item: BacklogItem) {
+        self.queue.borrow_mut().push_back(item);
     }
 
-    fn pop(&self) -> Option<Due> {
+    fn pop(&self) -> Option<BacklogItem> {
         self.queue.borrow_mut().pop_front()
     }
 
@@ -61,55 +64,54 @@
 }
 
 impl<M: StateMachine + 'static> Group<M> {
-    /// Applies what is due, a slice of it now and the rest in turn with other work.
+    /// Applies one slice of the backlog and leaves the rest to the background task.
     pub(super) fn apply_slice(&self) {
-        self.apply_due(SLICE);
+        self.apply_backlog(MAX_SLICE_ITEMS);
         if !self.backlog.is_empty() {
-            // A full channel means that the bell has rung already.
-            let _ = self.backlog.bell.0.try_send(());
+            // A full channel means that a wakeup is pending already.
+            let _ = self.backlog.wakeup.0.try_send(());
         }
     }
 
-    /// Applies everything that is due.
+    /// Applies the whole backlog.
     pub(super) fn apply_all(&self) {
-        self.apply_due(usize::MAX);
+        self.apply_backlog(usize::MAX);
     }
 
-    /// Forgets what is due, for a replica that begins anew from its files. Who waits for it is told that the outcome
-    /// is not known.
-    pub(super) fn drop_due(&self) {
-        while let Some(due) = self.backlog.pop() {
-            let ticket = match due {
-                Due::Apply { ticket, .. } | Due::Replicas { ticket, .. } => ticket,
-                Due::Read(ticket) => Some(ticket),
+    /// Drops the backlog when the replica is rebuilt, and completes its requests with [`ProposalOutcome::Unknown`].
+    pub(super) fn fail_backlog(&self) {
+        while let Some(item) = self.backlog.pop() {
+            let ticket = match item {
+                BacklogItem::Apply { ticket, .. } | BacklogItem::Replicas { ticket, .. } => ticket,
+                BacklogItem::Read(ticket) => Some(ticket),
             };
             if let Some(ticket) = ticket {
-                self.answer(ticket, ProposalOutcome::Unknown);
+                self.complete(ticket, ProposalOutcome::Unknown);
             }
         }
     }
 
     pub(super) async fn apply_forever(self: Rc<Self>) {
-        while self.backlog.bell.1.recv().await.is_ok() {
+        while self.backlog.wakeup.1.recv().await.is_ok() {
             while !self.backlog.is_empty() {
                 yield_now().await;
-                self.apply_due(SLICE);
+                self.apply_backlog(MAX_SLICE_ITEMS);
                 self.snapshot_if_due();
             }
         }
     }
 
-    fn apply_due(&self, most: usize) {
-        for _ in 0..most {
+    fn apply_backlog(&self, max: usize) {
+        for _ in 0..max {
             match self.backlog.pop() {
-                Some(Due::Apply { position, payload, ticket }) => {
-                    self.apply_or_hold(position, payload, ticket);
+                Some(BacklogItem::Apply { position, payload, ticket }) => {
+                    self.apply_or_defer(position, payload, ticket);
                 }
-                Some(Due::Read(ticket)) => self.answer(ticket, ProposalOutcome::Ready),
-                Some(Due::Replicas { ticket, replicas }) => {
+                Some(BacklogItem::Read(ticket)) => self.complete(ticket, ProposalOutcome::Ready),
+                Some(BacklogItem::Replicas { ticket, replicas }) => {
                     self.replicas.replace(replicas);
                     if let Some(ticket) = ticket {
-                        self.answer(ticket, ProposalOutcome::Changed);
+                        self.complete(ticket, ProposalOutcome::Changed);
                     }
                 }
                 None => return,
@@ -121,12 +123,12 @@
         match ticket {
             Some(ticket) => {
                 let reply = self.machine.borrow_mut().apply(position, payload);
-                self.answer(ticket, ProposalOutcome::Applied(reply));
+                self.complete(ticket, ProposalOutcome::Applied(reply));
             }
             None => self.machine.borrow_mut().follow(position, payload),
         }
         self.applied.set(position);
-        let grown = self.bytes_since_snapshot.get() + payload.len() as u64;
-        self.bytes_since_snapshot.set(grown);
+        let bytes = self.bytes_since_snapshot.get() + payload.len() as u64;
+        self.bytes_since_snapshot.set(bytes);
     }
 }
--- a/agatetrestle/src/node/group/encoding.rs
+++ b/agatetrestle/src/node/group/encoding.rs
@@ -1,8 +1,8 @@
-//! Snapshots on their way from the state machine to bytes, beside the thread that everything else runs on.
+//! Encodes snapshots of the state machine on a blocking thread.
 //!
-//! Coding tens of megabytes takes longer than an election lasts at the share of a core that a store has, and all
-//! replicas of a group come to it at the same entry of the log. Done in one go it silenced the leader and its followers
-//! at the same time; docs/incidents/005-a-group-that-tips-over.md has such a day.
+//! Encoding a large state can take longer than an election timeout, and all replicas of a group start it at the same log
+//! entry. On the main thread it would block the leader and its followers at the same time; see
+//! docs/incidents/005-a-group-that-tips-over.md.
 
 use std::cell::Cell;
 use std::fs::File;
@@ -19,113 +19,119 @@
 use crate::agreement::StateMachine;
 use crate::agreement::message::Position;
 use crate::node::group::Group;
-use crate::node::group::writes::Job;
+use crate::node::group::writes::StorageJob;
 
-/// What a coded state is for.
+/// Destination of an encoded snapshot.
 enum Purpose {
-    /// The own disk, with the history files that must be synced before.
-    Disk { replicas: Replicas, relies_on: Vec<File> },
-    /// Peers that lag too far for the log.
+    /// This replica's disk. `history_files` must be synced before the snapshot is saved.
+    Disk { replicas: Replicas, history_files: Vec<File> },
+    /// Peers that lag behind the start of the log.
     Peers,
 }
 
-/// A state that was set aside.
-struct Task {
+struct EncodeTask {
     position: Position,
-    freeze: Freeze,
+    encoder: Freeze,
     purpose: Purpose,
-    life: u64,
+    generation: u64,
 }
 
-/// The states that wait to be coded; at most one for each purpose.
-pub(super) struct Coder {
-    queue: (Sender<Task>, Receiver<Task>),
-    /// Counts how often the state was replaced as a whole: what was set aside before is older than what replaced it.
-    life: Cell<u64>,
-    for_disk: Cell<bool>,
-    for_peers: Cell<bool>,
+/// Queue of snapshots to encode, at most one for each purpose.
+pub(super) struct EncodeQueue {
+    queue: (Sender<EncodeTask>, Receiver<EncodeTask>),
+    /// Incremented when the whole state is replaced, so that snapshots queued before are discarded.
+    generation: Cell<u64>,
+    disk_pending: Cell<bool>,
+    peers_pending: Cell<bool>,
 }
 
-impl Default for Coder {
+impl Default for EncodeQueue {
     fn default() -> Self {
         Self {
             queue: smol::channel::unbounded(),
-            life: Cell::new(0),
-            for_disk: Cell::new(false),
-            for_peers: Cell::new(false),
+            generation: Cell::new(0),
+            disk_pending: Cell::new(false),
+            peers_pending: Cell::new(false),
         }
     }
 }
 
-impl Coder {
-    /// Notes that the state is replaced, so that nothing set aside before counts any more.
-    pub(super) fn begin_life(&self) {
-        self.life.set(self.life.get() + 1);
-        self.for_disk.set(false);
-        self.for_peers.set(false);
+impl EncodeQueue {
+    /// Invalidates all queued snapshots because the whole state is replaced.
+    pub(super) fn reset(&self) {
+        self.generation.set(self.generation.get() + 1);
+        self.disk_pending.set(false);
+        self.peers_pending.set(false);
     }
 
-    /// Notes that the snapshot for the own disk was saved or could not be.
-    pub(super) fn saved(&self) {
-        self.for_disk.set(false);
+    /// Allows the next snapshot for the disk, after one was saved or failed.
+    pub(super) fn clear_disk_pending(&self) {
+        self.disk_pending.set(false);
     }
 }
 
 impl<M: StateMachine + 'static> Group<M> {
-    /// Sets the state aside for the own disk once the log has grown enough.
+    /// Queues a snapshot for the disk once the log has grown by `snapshot_after` bytes.
     pub(super) fn snapshot_if_due(&self) {
         let due = self.bytes_since_snapshot.get() >= self.snapshot_after;
-        if !due || self.coder.for_disk.get() || self.held.borrow().is_some() {
+        if !due || self.encode_queue.disk_pending.get() || self.deferred.borrow().is_some() {
             return;
         }
         self.bytes_since_snapshot.set(0);
-        let relies_on = match self.flush_history() {
+        let history_files = match self.flush_history() {
             Ok(files) => files,
             Err(failure) => {
-                error!("Group {} could not write its history: {failure}.", self.id.0);
+                error!("Group {} failed to flush its history: {failure}.", self.id.0);
                 return;
             }
         };
-        self.coder.for_disk.set(true);
+        self.encode_queue.disk_pending.set(true);
         let replicas = self.replicas.borrow().clone();
-        self.set_aside(Purpose::Disk { replicas, relies_on });
+        self.queue_snapshot(Purpose::Disk { replicas, history_files });
     }
 
-    /// Sets the state aside for a peer that lags too far. While a received snapshot is not in place there is none to
-    /// send; the replica asks again.
-    pub(super) fn code_snapshot(&self) {
-        if self.held.borrow().is_some() || self.coder.for_peers.get() {
+    /// Queues a snapshot for lagging peers. Does nothing while a received snapshot is not installed yet; the replica
+    /// requests it again.
+    pub(super) fn encode_peer_snapshot(&self) {
+        if self.deferred.borrow().is_some() || self.encode_queue.peers_pending.get() {
             return;
         }
         if let Err(failure) = self.flush_history() {
-            error!("Group {} could not write its history for a peer: {failure}.", self.id.0);
+            error!("Group {} failed to flush its history for a peer snapshot: {failure}.", self.id.0);
             return;
         }
-        self.coder.for_peers.set(true);
-        self.set_aside(Purpose::Peers);
+        self.encode_queue.peers_pending.set(true);
+        self.queue_snapshot(Purpose::Peers);
     }
 
-    fn set_aside(&self, purpose: Purpose) {
-        let freeze = self.machine.borrow().freeze();
-        let task = Task { position: self.applied.get(), freeze, purpose, life: self.coder.life.get() };
-        // The receiver lasts as long as the group does.
-        let _ = self.coder.queue.0.try_send(task);
+    fn queue_snapshot(&self, purpose: Purpose) {
+        let encoder = self.machine.borrow().freeze();
+        let task = EncodeTask {
+            position: self.applied.get(),
+            encoder,
+            purpose,
+            generation: self.encode_queue.generation.get(),
+        };
+        // The receiver lives as long as the group.
+        let _ = self.encode_queue.queue.0.try_send(task);
     }
 
-    pub(super) async fn code_forever(&self) {
-        while let Ok(Task { position, freeze, purpose, life }) = self.coder.queue.1.recv().await {
-            let data = Bytes::from(smol::unblock(freeze).await);
-            if life != self.coder.life.get() {
+    pub(super) async fn encode_forever(&self) {
+        while let Ok(EncodeTask { position, encoder, purpose, generation }) =
+            self.encode_queue.queue.1.recv().await
+        {
+            let data = Bytes::from(smol::unblock(encoder).await);
+            if generation != self.encode_queue.generation.get() {
                 continue;
             }
             match purpose {
-                Purpose::Disk { replicas, relies_on } => {
+                Purpose::Disk { replicas, history_files } => {
                     let snapshot = Snapshot { position, replicas, data };
-                    self.enqueue(Job::Snapshot { snapshot, relies_on });
+                    self.enqueue(StorageJob::Snapshot { snapshot, history_files });
                 }
                 Purpose::Peers => {
-                    self.coder.for_peers.set(false);
-                    self.feed(Input::SnapshotCoded { position, data });
+                    self.encode_queue.peers_pending.set(false);
+                    self.process(Input::SnapshotCoded { position, data });
                 }
             }
         }
--- a/agatetrestle/src/node/group/install.rs
+++ b/agatetrestle/src/node/group/install.rs
@@ -1,4 +1,4 @@
-//! Putting a received snapshot in place: its history first, then the state, then what came after it.
+//! Installation of a received snapshot: first its history, then the state, then the commands committed after it.
 
 use std::collections::VecDeque;
 use std::fs::File;
@@ -22,57 +22,56 @@
 use crate::node::group::writes::UnusableSnafu;
 use crate::node::group::writes::WriteError;
 
-/// Pause before history is asked for again.
-const FETCH_PAUSE: Duration = Duration::from_millis(100);
-/// Most history bytes in one answer to another replica.
-const HISTORY_PIECE: usize = 1 << 20;
+/// Delay between attempts to fetch history.
+const HISTORY_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum size of one response to a replica that fetches history.
+const MAX_HISTORY_CHUNK_BYTES: usize = 1 << 20;
 
-/// A committed command that waits until a received snapshot is in place.
-pub(super) struct Held {
+pub(super) struct DeferredCommand {
     position: Position,
     payload: Arc<[u8]>,
     ticket: Option<Ticket>,
 }
 
-/// Commands that wait for a received snapshot, and where that one ends.
-pub(super) struct HeldBack {
+/// Committed commands that wait for the snapshot at `position` to be installed.
+pub(super) struct DeferredCommands {
     position: Position,
-    commands: VecDeque<Held>,
+    commands: VecDeque<DeferredCommand>,
 }
 
-impl HeldBack {
-    /// Nothing held yet for a snapshot that ends here.
+impl DeferredCommands {
     pub(super) fn new(position: Position) -> Self {
         Self { position, commands: VecDeque::new() }
     }
 }
 
 impl<M: StateMachine + 'static> Group<M> {
-    pub(super) fn apply_or_hold(&self, position: Position, payload: Arc<[u8]>, ticket: Option<Ticket>) {
-        if let Some(held) = &mut *self.held.borrow_mut() {
-            held.commands.push_back(Held { position, payload, ticket });
+    pub(super) fn apply_or_defer(&self, position: Position, payload: Arc<[u8]>, ticket: Option<Ticket>) {
+        if let Some(deferred) = &mut *self.deferred.borrow_mut() {
+            deferred.commands.push_back(DeferredCommand { position, payload, ticket });
             return;
         }
         self.apply(position, &payload, ticket);
     }
 
-    /// Fetches the history that a received snapshot relies on, then restores it. Nothing about the snapshot
-    /// is acknowledged before that, so a replica that can't fetch counts as down. Returns the files that must be
-    /// synced before the snapshot is saved.
-    pub(super) async fn put_in_place(&self, snapshot: &Snapshot) -> Result<Vec<File>, WriteError> {
-        let wanted = self.machine.borrow().history_end(&snapshot.data).context(UnusableSnafu)?;
-        while let Some(offset) = self.history_gap(wanted) {
+    /// Fetches the history that a received snapshot refers to, then restores the snapshot. It is not acknowledged before
+    /// that, so a replica that can't fetch the history counts as down. Returns the files that must be synced before the
+    /// snapshot is saved.
+    pub(super) async fn install_snapshot(&self, snapshot: &Snapshot) -> Result<Vec<File>, WriteError> {
+        let required_end = self.machine.borrow().history_end(&snapshot.data).context(UnusableSnafu)?;
+        while let Some(offset) = self.next_missing_offset(required_end) {
             match (self.history_source)(offset).await {
-                Some(bytes) if !bytes.is_empty() => self.extend_history(&bytes, wanted),
+                Some(bytes) if !bytes.is_empty() => self.append_history(&bytes, required_end),
                 _ => {
-                    warn!("Group {} waits for history from byte {offset} on.", self.id.0);
-                    Timer::after(FETCH_PAUSE).await;
+                    warn!("Group {} could not fetch history at offset {offset}; retrying.", self.id.0);
+                    Timer::after(HISTORY_RETRY_DELAY).await;
                 }
             }
         }
         let files = self.flush_history().context(UnflushedSnafu)?;
-        // A newer snapshot may have come meanwhile; its own write puts it in place.
-        let newest = self.held.borrow().as_ref().is_some_and(|held| held.position == snapshot.position);
+        // A newer snapshot may have arrived in the meantime; its own write installs it.
+        let newest =
+            self.deferred.borrow().as_ref().is_some_and(|deferred| deferred.position == snapshot.position);
         if newest {
             self.restore(snapshot).context(UnusableSnafu)?;
         }
@@ -83,29 +82,29 @@
         self.machine.borrow_mut().history().map_or(Ok(Vec::new()), History::flush)
     }
 
-    fn history_gap(&self, wanted: u64) -> Option<u64> {
+    fn next_missing_offset(&self, required_end: u64) -> Option<u64> {
         let mut machine = self.machine.borrow_mut();
         let end = machine.history()?.end();
-        (end < wanted).then_some(end)
+        (end < required_end).then_some(end)
     }
 
-    fn extend_history(&self, bytes: &[u8], wanted: u64) {
+    fn append_history(&self, bytes: &[u8], required_end: u64) {
         let mut machine = self.machine.borrow_mut();
         let Some(history) = machine.history() else {
             return;
         };
-        let lacking = usize::try_from(wanted - history.end()).unwrap_or(usize::MAX);
-        history.append_raw(&bytes[..bytes.len().min(lacking)]);
+        let remaining = usize::try_from(required_end - history.end()).unwrap_or(usize::MAX);
+        history.append_raw(&bytes[..bytes.len().min(remaining)]);
     }
 
-    /// Raw history for another replica.
+    /// Reads raw history for another replica; empty if there is none at `offset`.
     pub fn copy_history(&self, offset: u64) -> Vec<u8> {
         let mut machine = self.machine.borrow_mut();
-        let copied = machine.history().map(|history| history.read_raw(offset, HISTORY_PIECE));
-        match copied {
+        let chunk = machine.history().map(|history| history.read_raw(offset, MAX_HISTORY_CHUNK_BYTES));
+        match chunk {
             Some(Ok(bytes)) => bytes,
             Some(Err(failure)) => {
-                error!("Group {} can't read its history: {failure}.", self.id.0);
+                error!("Group {} failed to read its history: {failure}.", self.id.0);
                 Vec::new()
             }
             None => Vec::new(),
@@ -116,8 +115,8 @@
         self.machine.borrow_mut().restore(&snapshot.data)?;
         self.applied.set(snapshot.position);
         self.replicas.replace(snapshot.replicas.clone());
-        let held = self.held.take().map(|held| held.commands).unwrap_or_default();
-        for Held { position, payload, ticket } in held {
+        let deferred = self.deferred.take().map(|deferred| deferred.commands).unwrap_or_default();
+        for DeferredCommand { position, payload, ticket } in deferred {
             if position.index > snapshot.position.index {
                 self.apply(position, &payload, ticket);
             }
--- a/agatetrestle/src/node/group/reading.rs
+++ b/agatetrestle/src/node/group/reading.rs
@@ -1,4 +1,4 @@
-//! What a replica tells of itself and its group without changing anything.
+//! Read-only access to a replica and its state machine.
 
 use std::time::Duration;
 
@@ -10,47 +10,47 @@
 use crate::ports::GroupView;
 
 impl<M: StateMachine + 'static> Group<M> {
-    /// Reads the state machine as it is on this replica, which may lag.
+    /// Reads the state machine of this replica, which may be stale.
     pub fn machine<T>(&self, read: impl FnOnce(&M) -> T) -> T {
         read(&self.machine.borrow())
     }
 
-    /// Whether this replica leads and its lease holds.
+    /// Whether this replica is the leader and its lease is valid.
     pub fn leads(&self) -> bool {
         self.replica.borrow().lease_valid(self.clock.now())
     }
 
-    /// Whether this replica's lease holds until a time that lies ahead.
-    pub fn leads_until(&self, then: Timestamp) -> bool {
-        self.replica.borrow().lease_valid(then)
+    /// Whether this replica's lease is valid until a future time.
+    pub fn leads_until(&self, time: Timestamp) -> bool {
+        self.replica.borrow().lease_valid(time)
     }
 
-    /// The leader, if known.
+    /// Returns the leader, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.replica.borrow().leader()
     }
 
-    /// Whether a node is the one that holds this replica.
+    /// Whether `node` is the node of this replica.
     pub fn is_local(&self, node: NodeId) -> bool {
         self.replica.borrow().node() == node
     }
 
-    /// The term, for fencing.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.replica.borrow().term()
     }
 
-    /// Who takes part; a set that is not committed yet counts already.
+    /// Returns the current replica set, committed or not.
     pub fn replicas(&self) -> Replicas {
         self.replica.borrow().replicas().clone()
     }
 
-    /// The voters that have not answered this leader within `span`.
-    pub fn silent_voters(&self, span: Duration) -> Vec<NodeId> {
-        self.replica.borrow().silent_voters(self.clock.now(), span)
+    /// Returns the voters that have not answered this leader within `timeout`.
+    pub fn silent_voters(&self, timeout: Duration) -> Vec<NodeId> {
+        self.replica.borrow().silent_voters(self.clock.now(), timeout)
     }
 
-    /// The group as operators see it.
+    /// Returns a summary of the group for operators.
     pub fn view(&self) -> GroupView {
         let replica = self.replica.borrow();
         GroupView {
--- a/agatetrestle/src/node/group/refusals.rs
+++ b/agatetrestle/src/node/group/refusals.rs
@@ -1,5 +1,4 @@
-//! Commands that a leader refused for want of room, told together: under overload a line for each would cost what the refusal
-//! spared.
+//! Aggregated logging of commands that a leader refused because of overload. A line for each would add to the load.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,32 +9,32 @@
 use crate::clock::Timestamp;
 use crate::node::group::Group;
 
-/// Span whose refusals are told in one line.
-const SPAN: Duration = Duration::from_secs(1);
+/// Interval whose refusals are logged in one line.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The refusals of a span, from the first one on.
+/// Counts refusals, starting an interval at the first one.
 #[derive(Default)]
 pub(super) struct Refusals {
-    since: Cell<Option<Timestamp>>,
+    first_at: Cell<Option<Timestamp>>,
     count: Cell<u64>,
 }
 
 impl Refusals {
-    pub(super) fn note(&self, now: Timestamp) {
-        self.since.set(self.since.get().or(Some(now)));
+    pub(super) fn record(&self, now: Timestamp) {
+        self.first_at.set(self.first_at.get().or(Some(now)));
         self.count.set(self.count.get() + 1);
     }
 
-    /// How many were refused, once their span is over.
+    /// Returns and resets the count if the interval is over.
     pub(super) fn take_due(&self, now: Timestamp) -> Option<u64> {
-        self.since.get().filter(|since| now.since(*since) >= SPAN)?;
-        self.since.set(None);
+        self.first_at.get().filter(|first_at| now.since(*first_at) >= LOG_INTERVAL)?;
+        self.first_at.set(None);
         Some(self.count.take())
     }
 }
 
 impl<M: StateMachine + 'static> Group<M> {
-    pub(super) fn tell_refusals(&self) {
+    pub(super) fn log_refusals(&self) {
         if let Some(count) = self.refusals.take_due(self.clock.now()) {
             let (group, term) = (self.id.0, self.term());
             warn!(
--- a/agatetrestle/src/node/group/tests.rs
+++ b/agatetrestle/src/node/group/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the driver over a disk that runs full.
+//! Tests of the driver with a full disk and with slow snapshot encoding.
 
 use std::io;
 use std::path::PathBuf;
@@ -40,21 +40,21 @@
 use crate::node::group::GroupParts;
 use crate::node::group::ProposalOutcome;
 use crate::node::group::Reopen;
-use crate::node::group::apply::Due;
+use crate::node::group::apply::BacklogItem;
 use crate::node::group::refusals::Refusals;
 
 const GROUP: GroupId = GroupId(0);
 const TICK: Duration = Duration::from_millis(5);
 const TRIES: u32 = 2_000;
 
-/// Files of the real file system that have no space while the flag is set.
+/// A disk on the real file system that reports no space while `full` is set.
 struct FullDisk {
     files: FileDisk,
     full: Arc<AtomicBool>,
 }
 
 impl FullDisk {
-    fn space(&self) -> io::Result<()> {
+    fn check_space(&self) -> io::Result<()> {
         if self.full.load(Ordering::Relaxed) {
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -72,12 +72,12 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.space()?;
+        self.check_space()?;
         self.files.create(name)
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.space()?;
+        self.check_space()?;
         self.files.append(name, bytes)
     }
 
@@ -139,13 +139,13 @@
 ) -> Rc<Group<M>> {
     let (mut storage, mut restored) = reopen().await.unwrap();
     let replicas = Replicas { voters: [NodeId(1)].into(), ..Replicas::default() };
-    let founding = Snapshot {
+    let initial = Snapshot {
         position: Position::default(),
         replicas: replicas.clone(),
         data: machine.snapshot().into(),
     };
-    storage.save_snapshot(&founding).unwrap();
-    restored.snapshot = Some(founding);
+    storage.save_snapshot(&initial).unwrap();
+    restored.snapshot = Some(initial);
     let clock = Clock::start();
     let make_replica =
         Rc::new(|restored, now| Replica::new(replica_config(), Replicas::default(), restored, now));
@@ -161,7 +161,7 @@
         history_source: Rc::new(|_| Box::pin(async { None })),
         reopen,
         make_replica,
-        blank: Vec::new(),
+        initial_state: Vec::new(),
     });
     executor.spawn(group.clone().run(storage, jobs, TICK)).detach();
     group
@@ -184,11 +184,11 @@
         }
         Timer::after(TICK).await;
     }
-    panic!("change {version} was never applied");
+    panic!("change {version} was not applied");
 }
 
 #[test]
-fn a_replica_goes_on_from_its_files_once_a_full_disk_has_space() {
+fn recovers_from_storage_after_a_full_disk_has_space() {
     let folder = std::env::temp_dir().join(format!("agatetrestle-full-{}", std::process::id()));
     let full = Arc::new(AtomicBool::new(false));
     let executor = LocalExecutor::new();
@@ -200,19 +200,19 @@
         assert_eq!(during, ProposalOutcome::Unknown, "the command was in the log when the write failed");
         assert!(
             matches!(group.submit(change(1)).await, ProposalOutcome::Rejected(_)),
-            "nothing is taken meanwhile"
+            "no command is accepted in the meantime"
         );
         full.store(false, Ordering::Relaxed);
         commit(&group, 1).await;
         let version = group.machine(|state| state.configuration().documents["vrsta"].version);
-        assert_eq!(version, 2, "what was accepted before is there, and nothing twice");
+        assert_eq!(version, 2, "each accepted command is applied exactly once");
     }));
-    // A folder that stays behind is no failure of the code under test.
+    // Failure to clean up must not fail the test.
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn whoever_waits_for_what_is_dropped_is_told() {
+fn completes_requests_of_a_dropped_backlog() {
     let folder = std::env::temp_dir().join(format!("agatetrestle-due-{}", std::process::id()));
     let executor = LocalExecutor::new();
     smol::block_on(executor.run(async {
@@ -220,31 +220,33 @@
         let mut answers = Vec::new();
         for ticket in [Ticket(901), Ticket(902), Ticket(903)] {
             let (tx, rx) = oneshot::channel();
-            group.waiting.borrow_mut().insert(ticket, tx);
+            group.waiters.borrow_mut().insert(ticket, tx);
             answers.push(rx);
         }
         let (position, payload) = (Position::default(), Arc::from([]));
-        group.backlog.push(Due::Apply { position, payload, ticket: Some(Ticket(901)) });
-        group.backlog.push(Due::Read(Ticket(902)));
-        group.backlog.push(Due::Replicas { ticket: Some(Ticket(903)), replicas: Replicas::default() });
-        group.drop_due();
+        group.backlog.push(BacklogItem::Apply { position, payload, ticket: Some(Ticket(901)) });
+        group.backlog.push(BacklogItem::Read(Ticket(902)));
+        group
+            .backlog
+            .push(BacklogItem::Replicas { ticket: Some(Ticket(903)), replicas: Replicas::default() });
+        group.fail_backlog();
         for answer in answers {
             assert_eq!(answer.now_or_never(), Some(Ok(ProposalOutcome::Unknown)));
         }
     }));
-    // What stays behind harms no other test.
+    // Failure to clean up must not fail the test.
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// A state whose coding ends only when it is let.
-struct SlowlyCoded {
+/// A state machine whose snapshots are encoded only after a message to `release`.
+struct SlowEncoding {
     state: ControlState,
     release: mpsc::Sender<()>,
-    held: Arc<Mutex<mpsc::Receiver<()>>>,
-    codings: Arc<AtomicU32>,
+    permits: Arc<Mutex<mpsc::Receiver<()>>>,
+    encodings: Arc<AtomicU32>,
 }
 
-impl StateMachine for SlowlyCoded {
+impl StateMachine for SlowEncoding {
     fn apply(&mut self, position: Position, payload: &Arc<[u8]>) -> Vec<u8> {
         self.state.apply(position, payload)
     }
@@ -254,10 +256,10 @@
     }
 
     fn freeze(&self) -> Freeze {
-        let (data, held, codings) = (self.snapshot(), self.held.clone(), self.codings.clone());
+        let (data, permits, encodings) = (self.snapshot(), self.permits.clone(), self.encodings.clone());
         Box::new(move || {
-            held.lock().unwrap().recv().unwrap();
-            codings.fetch_add(1, Ordering::Relaxed);
+            permits.lock().unwrap().recv().unwrap();
+            encodings.fetch_add(1, Ordering::Relaxed);
             data
         })
     }
@@ -268,45 +270,45 @@
 }
 
 #[test]
-fn a_group_goes_on_while_its_state_is_coded() {
+fn commits_while_a_snapshot_is_encoded() {
     let folder = std::env::temp_dir().join(format!("agatetrestle-coding-{}", std::process::id()));
     let executor = LocalExecutor::new();
-    let (release, held) = mpsc::channel();
-    let codings = Arc::new(AtomicU32::new(0));
-    let machine = SlowlyCoded {
+    let (release, permits) = mpsc::channel();
+    let encodings = Arc::new(AtomicU32::new(0));
+    let machine = SlowEncoding {
         state: ControlState::default(),
         release: release.clone(),
-        held: Arc::new(Mutex::new(held)),
-        codings: codings.clone(),
+        permits: Arc::new(Mutex::new(permits)),
+        encodings: encodings.clone(),
     };
     smol::block_on(executor.run(async {
         let group = start_machine(&executor, reopen(folder.clone(), Arc::default()), machine, 1).await;
         for version in 0..20 {
             commit(&group, version).await;
         }
-        assert_eq!(codings.load(Ordering::Relaxed), 0, "the first snapshot is still being coded");
+        assert_eq!(encodings.load(Ordering::Relaxed), 0, "the first snapshot is still being encoded");
         group.machine(|machine| machine.release.send(()).unwrap());
         for version in 20..TRIES.into() {
             commit(&group, version).await;
-            if codings.load(Ordering::Relaxed) == 1 {
-                // Whatever is coded next must not keep its thread for ever; nobody may be there to take it.
+            if encodings.load(Ordering::Relaxed) == 1 {
+                // Unblocks the thread of the next snapshot, if there is one.
                 let _ = release.send(());
                 return;
             }
         }
-        panic!("the state was never coded");
+        panic!("no snapshot was encoded");
     }));
-    // What stays behind harms no other test.
+    // Failure to clean up must not fail the test.
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn refusals_of_a_second_are_told_together() {
+fn logs_refusals_of_a_second_together() {
     let refusals = Refusals::default();
     let at = |millis: u64| Timestamp(millis * 1_000);
     assert_eq!(refusals.take_due(at(0)), None);
-    (0..3).for_each(|number| refusals.note(at(500 + number)));
-    assert_eq!(refusals.take_due(at(1_499)), None, "the span is not over");
+    (0..3).for_each(|number| refusals.record(at(500 + number)));
+    assert_eq!(refusals.take_due(at(1_499)), None, "the interval is not over");
     assert_eq!(refusals.take_due(at(1_500)), Some(3));
     assert_eq!(refusals.take_due(at(9_000)), None);
 }
--- a/agatetrestle/src/node/group/writes.rs
+++ b/agatetrestle/src/node/group/writes.rs
@@ -1,4 +1,4 @@
-//! What a group wants made durable, and how a batch of it reaches the disk.
+//! Storage jobs of a group, and their execution in batches.
 
 use std::fs::File;
 
@@ -13,98 +13,105 @@
 use crate::agreement::storage::error::StorageError;
 use crate::history::HistoryError;
 
-/// One thing to make durable.
-pub(super) enum Job {
+pub(super) enum StorageJob {
     Write(Write),
-    Snapshot { snapshot: Snapshot, relies_on: Vec<File> },
+    Snapshot { snapshot: Snapshot, history_files: Vec<File> },
 }
 
-/// The queue of writes between a group and its storage.
-pub struct Jobs(pub(super) Receiver<Job>);
+/// Receiving end of the queue between a group and its storage.
+pub struct StorageJobs(pub(super) Receiver<StorageJob>);
 
-/// What could not be made durable.
+/// Failure to persist a batch.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub(super) enum WriteError {
-    /// The log or a snapshot.
+    /// The log or a snapshot can't be written.
     #[snafu(display("{source}"))]
     Log {
-        /// What the storage said.
+        /// Error of the storage.
         source: StorageError,
     },
-    /// The history that a snapshot relies on.
+    /// The history that a snapshot refers to can't be synced.
     #[snafu(display("the history can't be synced: {source}"))]
     Unsynced {
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The history that a received snapshot relies on.
+    /// The history that a received snapshot refers to can't be written.
     #[snafu(display("the history can't be written: {source}"))]
     Unflushed {
-        /// What the history said.
+        /// Error of the history.
         source: HistoryError,
     },
-    /// A received snapshot.
+    /// A received snapshot can't be decoded.
     #[snafu(display("a received snapshot can't be used: {source}"))]
     Unusable {
-        /// What the state machine said.
+        /// Error of the state machine.
         source: RestoreError,
     },
 }
 
-/// What a batch made durable.
+/// Outcome of a batch.
 #[derive(Default)]
-pub(super) struct Done {
-    /// Sequence number of the last write.
+pub(super) struct BatchResult {
+    /// Sequence number of the last persisted write.
     pub(super) written: Option<u64>,
-    /// This replica's own snapshot.
+    /// The saved snapshot of this replica.
     pub(super) snapshot: Option<Snapshot>,
-    /// Why its own snapshot could not be saved.
+    /// Why the snapshot of this replica could not be saved.
     pub(super) snapshot_failure: Option<WriteError>,
 }
 
-/// Makes a batch durable. A snapshot of this replica's own that fails is no failure of the batch, since the log
-/// is whole without it.
-pub(super) fn carry_out(
+/// Persists a batch. Failure to save a snapshot of this replica does not fail the batch, since the log is complete without
+/// it.
+pub(super) fn execute_batch(
     storage: &mut Storage,
-    relies_on: &[File],
-    batch: Vec<Job>,
-) -> Result<Done, WriteError> {
-    sync_all(relies_on).context(UnsyncedSnafu)?;
-    let mut done = Done::default();
+    history_files: &[File],
+    batch: Vec<StorageJob>,
+) -> Result<BatchResult, WriteError> {
+    sync_files(history_files).context(UnsyncedSnafu)?;
+    let mut result = BatchResult::default();
     let mut writes = Vec::new();
     for job in batch {
         match job {
-            Job::Write(write) => writes.push(write),
-            Job::Snapshot { snapshot, relies_on } => {
-                // In the order in which they were asked for, so that an older snapshot never replaces a newer one.
-                write_out(storage, &mut writes, &mut done)?;
-                match save(storage, &snapshot, &relies_on) {
-                    Ok(()) => done.snapshot = Some(snapshot),
-                    Err(failure) => done.snapshot_failure = Some(failure),
+            StorageJob::Write(write) => writes.push(write),
+            StorageJob::Snapshot { snapshot, history_files } => {
+                // Keeps the order of the jobs, so that an older snapshot never replaces a newer one.
+                flush_writes(storage, &mut writes, &mut result)?;
+                match save_snapshot(storage, &snapshot, &history_files) {
+                    Ok(()) => result.snapshot = Some(snapshot),
+                    Err(failure) => result.snapshot_failure = Some(failure),
                 }
             }
         }
     }
-    write_out(storage, &mut writes, &mut done)?;
-    Ok(done)
+    flush_writes(storage, &mut writes, &mut result)?;
+    Ok(result)
 }
 
-fn write_out(storage: &mut Storage, writes: &mut Vec<Write>, done: &mut Done) -> Result<(), WriteError> {
+fn flush_writes(
+    storage: &mut Storage,
+    writes: &mut Vec<Write>,
+    result: &mut BatchResult,
+) -> Result<(), WriteError> {
     if let Some(last) = writes.last() {
         let sequence = last.sequence;
         storage.write(writes).context(LogSnafu)?;
-        done.written = Some(sequence);
+        result.written = Some(sequence);
         writes.clear();
     }
     Ok(())
 }
 
-fn save(storage: &mut Storage, snapshot: &Snapshot, relies_on: &[File]) -> Result<(), WriteError> {
-    sync_all(relies_on).context(UnsyncedSnafu)?;
+fn save_snapshot(
+    storage: &mut Storage,
+    snapshot: &Snapshot,
+    history_files: &[File],
+) -> Result<(), WriteError> {
+    sync_files(history_files).context(UnsyncedSnafu)?;
     storage.save_snapshot(snapshot).context(LogSnafu)
 }
 
-fn sync_all(files: &[File]) -> std::io::Result<()> {
+fn sync_files(files: &[File]) -> std::io::Result<()> {
     files.iter().try_for_each(File::sync_all)
 }
--- a/agatetrestle/src/node/replicas.rs
+++ b/agatetrestle/src/node/replicas.rs
@@ -197,7 +197,7 @@
         let StoredReplica { group: id, folder, storage, restored } = found;
         let mut replicas = Replicas::default();
         let mut applied = Position::default();
-        let mut blank = Vec::new();
+        let mut initial_state = Vec::new();
         if let Some(snapshot) = &restored.snapshot {
             machine.restore(&snapshot.data).context(RestoreSnafu { group: id })?;
             applied = snapshot.position;
@@ -206,7 +206,7 @@
             // The log holds everything from its first entry on, which will append to the history again.
             let emptied = machine.history().map_or(Ok(()), |history| history.truncate(0));
             emptied.context(OpenHistorySnafu { folder: &folder })?;
-            blank = machine.snapshot();
+            initial_state = machine.snapshot();
         }
         let make_replica = make_replica(self.replica_config(id));
         let replica = make_replica(restored, self.clock.now());
@@ -222,7 +222,7 @@
             history_source: self.history_source(id, holders),
             reopen: reopen(&folder, id, self.storage.segment),
             make_replica,
-            blank,
+            initial_state,
         });
         let tick = self.timing.leader_interval / TICKS_PER_INTERVAL;
         let driver = self.executor.spawn(group.clone().run(storage, jobs, tick));
