--- a/agatetrestle/src/node/links.rs
+++ b/agatetrestle/src/node/links.rs
@@ -1,4 +1,4 @@
-//! The ways to all other nodes, by seeds from the settings and by what members tell later.
+//! Links to all other nodes, by addresses from the settings and from heartbeats.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use crate::node::peer_link::MessageHandlers;
 use crate::node::peer_link::PeerLink;
 
-/// One link to each other node.
+/// One link to each other node whose address is known.
 pub struct Links {
     node: NodeId,
     deadline: Duration,
@@ -23,7 +23,7 @@
 }
 
 impl Links {
-    /// Links of a node, none so far. `deadline` bounds connecting and each call.
+    /// Creates an empty set of links of `node`. `deadline` limits each connection attempt and each call.
     #[must_use]
     pub fn new(node: NodeId, deadline: Duration, executor: &Rc<LocalExecutor<'static>>) -> Rc<Self> {
         Rc::new(Self {
@@ -35,28 +35,27 @@
         })
     }
 
-    /// A link by address alone, for a peer whose number is not known yet; it carries calls but no messages of
-    /// a group.
+    /// Creates a link to an address, for a peer whose id is not known. It is used for calls, not for messages of a group.
     #[must_use]
     pub fn link_to(&self, address: SocketAddr) -> Rc<PeerLink> {
-        PeerLink::new(address, self.deadline, self.executor.clone(), self.inbound())
+        PeerLink::new(address, self.deadline, self.executor.clone(), self.handler())
     }
 
-    /// Sets who takes in what other nodes answer at once.
+    /// Sets the handlers of immediate replies from other nodes.
     pub fn set_handlers(&self, handlers: MessageHandlers) {
         self.handlers.replace(handlers);
     }
 
-    fn inbound(&self) -> MessageHandler {
+    fn handler(&self) -> MessageHandler {
         let handlers = self.handlers.clone();
         Rc::new(move |message| {
-            let receive = handlers.borrow().get(&message.group).cloned();
-            receive.map_or_else(Vec::new, |receive| receive(message))
+            let handle = handlers.borrow().get(&message.group).cloned();
+            handle.map_or_else(Vec::new, |handle| handle(message))
         })
     }
 
-    /// Takes in the address that a node tells of itself. The one in the settings goes first, since they may
-    /// name another way to the node; a replaced VM is reached by the one it tells.
+    /// Adds an address of a node. The first one, usually from the settings, takes precedence; a later one serves as
+    /// fallback, such as after a VM was replaced.
     pub fn add_address(&self, node: NodeId, address: SocketAddr) {
         if node == self.node {
             return;
@@ -66,11 +65,11 @@
             link.set_fallback(address);
             return;
         }
-        let link = PeerLink::new(address, self.deadline, self.executor.clone(), self.inbound());
+        let link = PeerLink::new(address, self.deadline, self.executor.clone(), self.handler());
         links.insert(node, link);
     }
 
-    /// The link to a node, if its address is known.
+    /// Returns the link to a node, if its address is known.
     #[must_use]
     pub fn get(&self, node: NodeId) -> Option<Rc<PeerLink>> {
         self.by_node.borrow().get(&node).cloned()
--- a/agatetrestle/src/node/peer_link.rs
+++ b/agatetrestle/src/node/peer_link.rs
@@ -1,10 +1,9 @@
-//! Connections to the other processes, one to each peer.
+//! Connections to other processes, one to each peer.
 //!
-//! Every call has a deadline, and a connection on which a call missed it while no other was answered is replaced instead
-//! of being waited on, because something between the two ends may have lost track of it. A peer that is only late goes on
-//! answering others; cutting its connection would fail every call on it, and their repetition would make it later still.
-//! A call goes on until its deadline though its caller leaves, since a connection would else be judged by patient callers
-//! alone.
+//! Every call has a deadline. When a call times out and no other call was answered in the meantime, the connection is
+//! replaced, because it may be dead. A slow peer still answers other calls and keeps its connection: closing it would fail
+//! all calls on it, and their retries would add to the load. A call whose caller drops it runs until its deadline, so that
+//! callers with short timeouts do not hide a dead connection.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -46,50 +45,47 @@
 use crate::node::wire::read_message;
 use crate::node::wire::write_message;
 
-/// Messages that may wait for a slow peer; agreement survives the loss of any, so the rest is dropped.
-const QUEUE: usize = 1_024;
-/// Messages in one delivery.
-const BATCH: usize = 64;
-/// Deliveries that may be unanswered at once.
-const WINDOW: usize = 64;
-/// Longest time for a connection. The operating system of a machine that is there answers within a round trip,
-/// whatever its processes do; a first packet that was lost or sent to a dark machine is repeated by the next try sooner
-/// than by the operating system, which waits for a second.
-const CONNECT: Duration = Duration::from_millis(250);
-/// Pause before a new connection after a failed one.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-
-/// Why a call to a peer has no answer.
+/// Messages queued for a slow peer. Further ones are dropped, since the protocol tolerates the loss of messages.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
+const MAX_BATCH_MESSAGES: usize = 64;
+const MAX_PENDING_DELIVERIES: usize = 64;
+/// Shorter than the operating system's retransmission timeout of the first packet, so that a new attempt replaces a lost
+/// packet sooner.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Delay after a failed connection attempt.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+
+/// Failure of a call to a peer.
 #[derive(Debug, Snafu)]
 pub enum LinkError {
     /// No connection could be made, so the call was not sent.
     #[snafu(display("can't connect: {source}"))]
     Connect {
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// No connection was made in time, so the call was not sent.
+    /// The connection attempt timed out, so the call was not sent.
     #[snafu(display("can't connect in time"))]
     ConnectTimeout,
-    /// The call was sent and may have been carried out.
+    /// The connection failed after the call was sent, so it may have been executed.
     #[snafu(display("the call broke: {source}"))]
     Broken {
-        /// What the library found.
+        /// Error of the RPC library.
         source: capnp::Error,
     },
-    /// The call was sent and may have been carried out.
+    /// The call was sent but not answered in time, so it may have been executed.
     #[snafu(display("no answer in time"))]
     Timeout,
 }
 
 impl LinkError {
-    /// Whether the peer can't have seen the call.
+    /// Whether the call was certainly not sent.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect { .. } | Self::ConnectTimeout)
     }
 
-    /// What it is to callers that shared the try.
+    /// The kind reported to callers that shared the connection attempt.
     fn kind(&self) -> io::ErrorKind {
         match self {
             Self::Connect { source } => source.kind(),
@@ -99,7 +95,7 @@
     }
 }
 
-/// Bounds a future by a deadline.
+/// Awaits a future for at most `deadline`; returns `None` if it does not complete in time.
 pub async fn with_deadline<F: Future>(deadline: Duration, future: F) -> Option<F::Output> {
     let future = std::pin::pin!(future);
     match select(future, Timer::after(deadline)).await {
@@ -109,71 +105,70 @@
 }
 
 struct Connection {
-    handle: Handle,
-    made: Instant,
+    handle: ConnectionHandle,
+    connected_at: Instant,
     _system: Task<()>,
 }
 
-/// What a call needs of a connection.
 #[derive(Clone)]
-struct Handle {
+struct ConnectionHandle {
     client: peer::Client,
     generation: u64,
-    /// Counts the calls that were answered on the connection.
+    /// Number of calls answered on the connection.
     answers: Rc<Cell<u64>>,
 }
 
-/// The connection to a peer, while there is one.
+/// Address of a peer and the connection to it, if any.
 struct Slot {
     address: SocketAddr,
     connection: RefCell<Option<Connection>>,
 }
 
 impl Slot {
-    fn handle(&self) -> Option<Handle> {
+    fn handle(&self) -> Option<ConnectionHandle> {
         self.connection.borrow().as_ref().map(|connection| connection.handle.clone())
     }
 
-    /// Gives up a connection, unless another has already taken its place.
+    /// Closes a connection unless it has been replaced already.
     fn discard(&self, generation: u64, reason: &LinkError) {
         let mut connection = self.connection.borrow_mut();
-        let Some(given_up) = connection.take_if(|connection| connection.handle.generation == generation)
+        let Some(discarded) = connection.take_if(|connection| connection.handle.generation == generation)
         else {
             return;
         };
         info!(
             "connection peer={} outcome=given_up reason=\"{reason}\" age_ms={} answers={}",
             self.address,
-            given_up.made.elapsed().as_millis(),
-            given_up.handle.answers.get()
+            discarded.connected_at.elapsed().as_millis(),
+            discarded.handle.answers.get()
         );
     }
 
-    /// Waits for the answer to a call until its deadline, and judges the connection by it.
-    async fn finish<T>(
+    /// Awaits the answer to a call until its deadline, and discards the connection if it failed or appears dead.
+    async fn await_answer<T>(
         self: Rc<Self>,
-        on: Handle,
+        handle: ConnectionHandle,
         deadline: Duration,
         call: impl Future<Output = Result<T, capnp::Error>>,
     ) -> Result<T, LinkError> {
-        let before = on.answers.get();
+        let answers_before = handle.answers.get();
         let error = match with_deadline(deadline, call).await {
             Some(Ok(answer)) => {
-                on.answers.set(on.answers.get() + 1);
+                handle.answers.set(handle.answers.get() + 1);
                 return Ok(answer);
             }
             Some(Err(source)) => LinkError::Broken { source },
-            None if on.answers.get() > before => return Err(LinkError::Timeout),
+            None if handle.answers.get() > answers_before => return Err(LinkError::Timeout),
             None => LinkError::Timeout,
         };
-        self.discard(on.generation, &error);
+        self.discard(handle.generation, &error);
         Err(error)
     }
 }
 
-/// A call under way. If it is dropped it goes on by itself; its deadline bounds for how long.
+/// A call in progress. When dropped it continues in the background until its deadline.
 struct PendingCall<T: 'static> {
-    finishing: Option<LocalBoxFuture<'static, Result<T, LinkError>>>,
+    answer: Option<LocalBoxFuture<'static, Result<T, LinkError>>>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -181,57 +176,58 @@
     type Output = Result<T, LinkError>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
-        let Some(finishing) = &mut self.finishing else {
+        let Some(answer) = &mut self.answer else {
             return Poll::Pending;
         };
-        let outcome = ready!(finishing.as_mut().poll(cx));
-        self.finishing = None;
+        let outcome = ready!(answer.as_mut().poll(cx));
+        self.answer = None;
         Poll::Ready(outcome)
     }
 }
 
 impl<T> Drop for PendingCall<T> {
     fn drop(&mut self) {
-        if let Some(finishing) = self.finishing.take() {
-            // Nobody waits for what becomes of it; the connection has been judged by then.
-            self.executor.spawn(async move { drop(finishing.await) }).detach();
+        if let Some(answer) = self.answer.take() {
+            // The result is ignored; awaiting it may discard the connection.
+            self.executor.spawn(async move { drop(answer.await) }).detach();
         }
     }
 }
 
-/// The way to one peer.
+/// A link to one peer, which reconnects on demand.
 pub struct PeerLink {
     slot: Rc<Slot>,
+    /// Address to try if the first one can't be connected to.
     fallback: Cell<Option<SocketAddr>>,
     deadline: Duration,
     executor: Rc<LocalExecutor<'static>>,
     generation: Cell<u64>,
-    /// Held while a connection is made: a second one would take the place of the first under the calls on it.
+    /// Held while connecting, since a second connection would replace the first and fail the calls on it.
     connecting: Mutex<()>,
-    /// Counts the connections that could not be made, and why the last one could not.
-    failed: Cell<(u64, io::ErrorKind)>,
+    /// Number of failed connection attempts, and the kind of the last failure.
+    connect_failures: Cell<(u64, io::ErrorKind)>,
     outbox: Sender<Message>,
-    /// Takes in what the peer answers at once.
-    inbound: MessageHandler,
+    /// Handles the immediate replies of the peer.
+    handler: MessageHandler,
     delivery: RefCell<Option<Task<()>>>,
 }
 
-/// Takes in a message from another node, and returns what is sent to it next.
+/// Handles a message from another node and returns the messages to send to it in reply.
 pub type MessageHandler = Rc<dyn Fn(Message) -> Vec<Message>>;
 
-/// Who takes in the messages of each group.
+/// Message handlers by group.
 pub type MessageHandlers = BTreeMap<GroupId, MessageHandler>;
 
 impl PeerLink {
-    /// A link that connects on first use. `deadline` bounds connecting and each call.
+    /// Creates a link that connects on first use. `deadline` limits each connection attempt and each call.
     #[must_use]
     pub fn new(
         address: SocketAddr,
         deadline: Duration,
         executor: Rc<LocalExecutor<'static>>,
-        inbound: MessageHandler,
+        handler: MessageHandler,
     ) -> Rc<Self> {
-        let (outbox, inbox) = smol::channel::bounded(QUEUE);
+        let (outbox, inbox) = smol::channel::bounded(MAX_QUEUED_MESSAGES);
         let link = Rc::new(Self {
             slot: Rc::new(Slot { address, connection: RefCell::default() }),
             fallback: Cell::new(None),
@@ -239,37 +235,37 @@
             executor,
             generation: Cell::new(0),
             connecting: Mutex::new(()),
-            failed: Cell::new((0, io::ErrorKind::NotConnected)),
+            connect_failures: Cell::new((0, io::ErrorKind::NotConnected)),
             outbox,
-            inbound,
+            handler,
             delivery: RefCell::new(None),
         });
         let weak = Rc::downgrade(&link);
-        let delivery = link.executor.spawn(deliver_all(weak, inbox));
+        let delivery = link.executor.spawn(deliver_forever(weak, inbox));
         link.delivery.replace(Some(delivery));
         link
     }
 
-    /// Takes in a further address, tried where the first can't be connected to.
+    /// Sets the address to try if the first one can't be connected to.
     pub fn set_fallback(&self, address: SocketAddr) {
         if address != self.slot.address {
             self.fallback.set(Some(address));
         }
     }
 
-    /// Queues a message; it is dropped where the peer is too slow or away.
+    /// Queues a message. It is dropped if the peer is too slow or unreachable.
     pub fn deliver(&self, message: Message) {
         if self.outbox.try_send(message).is_err() {
-            debug!("A message to {} was dropped because the queue is full.", self.slot.address);
+            debug!("Dropped a message to {} because its queue is full.", self.slot.address);
         }
     }
 
-    /// Makes a call within the deadline. `call` starts it on the client it is given. A caller that drops it leaves it to
-    /// go on until the deadline.
+    /// Makes a call within the deadline of the link. `call` starts the call on the given client. If the returned future is
+    /// dropped, the call continues until the deadline.
     ///
     /// # Errors
     ///
-    /// Fails without an answer; [`LinkError::is_unsent`] tells whether the peer can have seen the call.
+    /// Fails if there is no answer; [`LinkError::is_unsent`] tells whether the call may have been sent.
     pub async fn call<T, F>(&self, call: impl FnOnce(&peer::Client) -> F) -> Result<T, LinkError>
     where
         F: Future<Output = Result<T, capnp::Error>> + 'static,
@@ -278,7 +274,7 @@
         self.call_within(self.deadline, call).await
     }
 
-    /// Makes a call as [`PeerLink::call`] does, within a deadline of its own.
+    /// Makes a call as [`PeerLink::call`] does, with its own deadline.
     ///
     /// # Errors
     ///
@@ -292,34 +288,34 @@
         F: Future<Output = Result<T, capnp::Error>> + 'static,
         T: 'static,
     {
-        let on = self.client().await?;
-        let started = call(&on.client);
-        let finishing = self.slot.clone().finish(on, deadline, started);
-        PendingCall { finishing: Some(Box::pin(finishing)), executor: self.executor.clone() }.await
+        let handle = self.client().await?;
+        let started = call(&handle.client);
+        let answer = self.slot.clone().await_answer(handle, deadline, started);
+        PendingCall { answer: Some(Box::pin(answer)), executor: self.executor.clone() }.await
     }
 
-    /// The connection, made now if there is none. Callers that come meanwhile share it, or its failure.
-    async fn client(&self) -> Result<Handle, LinkError> {
+    /// Returns the connection, and connects if there is none. Concurrent callers share the connection or the failure.
+    async fn client(&self) -> Result<ConnectionHandle, LinkError> {
         if let Some(handle) = self.slot.handle() {
             return Ok(handle);
         }
-        let (failures, _) = self.failed.get();
+        let (failures, _) = self.connect_failures.get();
         let _connecting = self.connecting.lock().await;
         if let Some(handle) = self.slot.handle() {
             return Ok(handle);
         }
-        let (now_failed, kind) = self.failed.get();
-        if now_failed > failures {
+        let (current_failures, kind) = self.connect_failures.get();
+        if current_failures > failures {
             return Err(LinkError::Connect { source: kind.into() });
         }
-        let made = self.connect_anywhere().await;
-        if let Err(failure) = &made {
-            self.failed.set((failures + 1, failure.kind()));
+        let connected = self.connect_any().await;
+        if let Err(failure) = &connected {
+            self.connect_failures.set((failures + 1, failure.kind()));
         }
-        Ok(self.install(made?))
+        Ok(self.start_rpc(connected?))
     }
 
-    async fn connect_anywhere(&self) -> Result<TcpStream, LinkError> {
+    async fn connect_any(&self) -> Result<TcpStream, LinkError> {
         match (self.connect(self.slot.address).await, self.fallback.get()) {
             (Err(_), Some(fallback)) => self.connect(fallback).await,
             (outcome, _) => outcome,
@@ -327,26 +323,27 @@
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<TcpStream, LinkError> {
-        let connecting = with_deadline(self.deadline.min(CONNECT), TcpStream::connect(address)).await;
+        let connecting = with_deadline(self.deadline.min(CONNECT_TIMEOUT), TcpStream::connect(address)).await;
         let stream = connecting.ok_or(LinkError::ConnectTimeout)?.context(ConnectSnafu)?;
         stream.set_nodelay(true).context(ConnectSnafu)?;
         Ok(stream)
     }
 
-    fn install(&self, stream: TcpStream) -> Handle {
+    fn start_rpc(&self, stream: TcpStream) -> ConnectionHandle {
         let (reader, writer) = stream.split();
         let network = VatNetwork::new(reader, writer, Side::Client, capnp::message::ReaderOptions::new());
         let mut system = RpcSystem::new(Box::new(network), None);
         let client: peer::Client = system.bootstrap(Side::Server);
         let running = self.executor.spawn(async move {
             if let Err(error) = system.await {
-                debug!("A connection to a peer ended: {error}.");
+                debug!("A connection to a peer closed: {error}.");
             }
         });
         let generation = self.generation.get() + 1;
         self.generation.set(generation);
-        let handle = Handle { client, generation, answers: Rc::default() };
-        let connection = Connection { handle: handle.clone(), made: Instant::now(), _system: running };
+        let handle = ConnectionHandle { client, generation, answers: Rc::default() };
+        let connection =
+            Connection { handle: handle.clone(), connected_at: Instant::now(), _system: running };
         self.slot.connection.replace(Some(connection));
         handle
     }
@@ -368,7 +365,7 @@
             }
         });
         for reply in replies.await? {
-            for next in (self.inbound)(reply) {
+            for next in (self.handler)(reply) {
                 self.deliver(next);
             }
         }
@@ -376,32 +373,32 @@
     }
 }
 
-async fn deliver_all(link: std::rc::Weak<PeerLink>, inbox: Receiver<Message>) {
-    let mut window: VecDeque<Task<Result<(), LinkError>>> = VecDeque::new();
+async fn deliver_forever(link: std::rc::Weak<PeerLink>, inbox: Receiver<Message>) {
+    let mut deliveries: VecDeque<Task<Result<(), LinkError>>> = VecDeque::new();
     while let Ok(message) = inbox.recv().await {
         let Some(link) = link.upgrade() else {
             return;
         };
         if let Err(error) = link.client().await {
-            debug!("No connection to peer {}: {error}.", link.slot.address);
-            // What waited for the peer is old by the time it answers again.
+            debug!("Failed to connect to peer {}: {error}.", link.slot.address);
+            // Queued messages would be outdated by the time the peer is reachable.
             while inbox.try_recv().is_ok() {}
-            Timer::after(RECONNECT_PAUSE).await;
+            Timer::after(RECONNECT_DELAY).await;
             continue;
         }
         let mut batch = vec![message];
-        while batch.len() < BATCH
+        while batch.len() < MAX_BATCH_MESSAGES
             && let Ok(next) = inbox.try_recv()
         {
             batch.push(next);
         }
         let sender = link.clone();
-        window.push_back(link.executor.spawn(async move { sender.deliver_batch(&batch).await }));
-        if window.len() < WINDOW {
+        deliveries.push_back(link.executor.spawn(async move { sender.deliver_batch(&batch).await }));
+        if deliveries.len() < MAX_PENDING_DELIVERIES {
             continue;
         }
-        if let Some(oldest) = window.pop_front() {
-            // A failure has already discarded the connection, and agreement sends again by itself.
+        if let Some(oldest) = deliveries.pop_front() {
+            // The call has discarded a failed connection already, and the protocol resends messages.
             let _ = oldest.await;
         }
     }
--- a/agatetrestle/src/node/peer_link/tests.rs
+++ b/agatetrestle/src/node/peer_link/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when a connection is given up.
+//! Tests of when a connection is replaced.
 
 use std::cell::Cell;
 
@@ -18,20 +18,20 @@
 use crate::node::service::Submission;
 
 const GROUP: GroupId = GroupId(1);
-const SOON: Duration = Duration::from_millis(50);
-/// Longer than any test runs.
-const EVER: Duration = Duration::from_hours(1);
-/// Callers one after the other, many times as many as leave within the deadline of a call.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Longer than any test.
+const NO_TIMEOUT: Duration = Duration::from_hours(1);
+/// Many more callers than time out within the deadline of one call.
 const CALLERS: u32 = 40;
-const NEVER_ANSWERED: &[u8] = b"never";
+const UNANSWERED: &[u8] = b"never";
 
-/// Answers every request but one.
-struct Choosy(Cell<u32>);
+/// Answers every request except [`UNANSWERED`].
+struct SelectiveService(Cell<u32>);
 
-impl GroupService for Choosy {
+impl GroupService for SelectiveService {
     fn submit(&self, request: Vec<u8>) -> LocalBoxFuture<'_, Submission> {
         Box::pin(async move {
-            if request == NEVER_ANSWERED {
+            if request == UNANSWERED {
                 futures::future::pending::<()>().await;
             }
             self.0.set(self.0.get() + 1);
@@ -44,72 +44,73 @@
     }
 }
 
-/// Makes a call that misses its deadline, while others are answered or not; how many connections it took up to the next call.
+/// Makes a call that times out, while other calls are answered if `others`. Returns the number of connections up to the next
+/// call.
 fn connections_after_a_timeout(others: bool) -> u64 {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let mut server = PeerServer::default();
-        server.services.insert(GROUP, Rc::new(Choosy(Cell::new(0))));
+        server.services.insert(GROUP, Rc::new(SelectiveService(Cell::new(0))));
         executor.spawn(peer_server::serve(Rc::new(server), listener, Rc::downgrade(&executor))).detach();
-        let link = Links::new(NodeId(1), EVER, &executor).link_to(address);
-        assert!(submit_remotely(&link, EVER, GROUP, b"first").await.is_ok());
-        let late = submit_remotely(&link, SOON, GROUP, NEVER_ANSWERED);
+        let link = Links::new(NodeId(1), NO_TIMEOUT, &executor).link_to(address);
+        assert!(submit_remotely(&link, NO_TIMEOUT, GROUP, b"first").await.is_ok());
+        let late = submit_remotely(&link, SHORT_TIMEOUT, GROUP, UNANSWERED);
         let answered = async {
             if !others {
                 return futures::future::pending::<()>().await;
             }
             loop {
-                assert!(submit_remotely(&link, EVER, GROUP, b"other").await.is_ok());
+                assert!(submit_remotely(&link, NO_TIMEOUT, GROUP, b"other").await.is_ok());
                 smol::future::yield_now().await;
             }
         };
         let (late, answered) = (std::pin::pin!(late), std::pin::pin!(answered));
         let Either::Left((outcome, _)) = select(late, answered).await else {
-            unreachable!("the others never end");
+            unreachable!("the other calls never end");
         };
         assert!(matches!(outcome, Err(LinkError::Timeout)));
-        assert!(submit_remotely(&link, EVER, GROUP, b"last").await.is_ok());
+        assert!(submit_remotely(&link, NO_TIMEOUT, GROUP, b"last").await.is_ok());
         link.generation.get()
     }))
 }
 
 #[test]
-fn a_silent_connection_is_replaced_though_its_callers_leave_before_the_deadline() {
+fn replaces_a_dead_connection_though_callers_leave_before_the_deadline() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let forwarder = Forwarder::start(&executor, listener.local_addr().unwrap()).await.unwrap();
         let mut server = PeerServer::default();
-        server.services.insert(GROUP, Rc::new(Choosy(Cell::new(0))));
+        server.services.insert(GROUP, Rc::new(SelectiveService(Cell::new(0))));
         executor.spawn(peer_server::serve(Rc::new(server), listener, Rc::downgrade(&executor))).detach();
-        let link = Links::new(NodeId(1), EVER, &executor).link_to(forwarder.address);
-        assert!(submit_remotely(&link, EVER, GROUP, b"first").await.is_ok());
+        let link = Links::new(NodeId(1), NO_TIMEOUT, &executor).link_to(forwarder.address);
+        assert!(submit_remotely(&link, NO_TIMEOUT, GROUP, b"first").await.is_ok());
         forwarder.forget();
-        let deadline = SOON * 2;
-        let callers =
-            (0..CALLERS).map(|_| with_deadline(SOON, submit_remotely(&link, deadline, GROUP, b"next")));
+        let deadline = SHORT_TIMEOUT * 2;
+        let callers = (0..CALLERS)
+            .map(|_| with_deadline(SHORT_TIMEOUT, submit_remotely(&link, deadline, GROUP, b"next")));
         for caller in callers {
             if caller.await.is_some_and(|outcome| outcome.is_ok()) {
                 return;
             }
         }
-        panic!("no caller of {CALLERS} was answered");
+        panic!("none of {CALLERS} callers was answered");
     }));
 }
 
 #[test]
-fn calls_that_meet_no_connection_share_the_one_that_is_made() {
+fn concurrent_calls_share_a_new_connection() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let forwarder = Forwarder::start(&executor, listener.local_addr().unwrap()).await.unwrap();
         let mut server = PeerServer::default();
-        server.services.insert(GROUP, Rc::new(Choosy(Cell::new(0))));
+        server.services.insert(GROUP, Rc::new(SelectiveService(Cell::new(0))));
         executor.spawn(peer_server::serve(Rc::new(server), listener, Rc::downgrade(&executor))).detach();
-        let link = Links::new(NodeId(1), EVER, &executor).link_to(forwarder.address);
-        let calls = (0..CALLERS).map(|_| submit_remotely(&link, EVER, GROUP, b"next"));
+        let link = Links::new(NodeId(1), NO_TIMEOUT, &executor).link_to(forwarder.address);
+        let calls = (0..CALLERS).map(|_| submit_remotely(&link, NO_TIMEOUT, GROUP, b"next"));
         let mut calls: FuturesUnordered<_> = calls.collect();
         assert!(calls.next().await.is_some_and(|outcome| outcome.is_ok()));
         assert_eq!(forwarder.accepted(), 1);
@@ -120,27 +121,27 @@
 }
 
 #[test]
-fn calls_to_a_peer_that_is_away_share_the_failure() {
+fn concurrent_calls_share_a_connection_failure() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         drop(listener);
-        let link = Links::new(NodeId(1), EVER, &executor).link_to(address);
-        let calls = (0..CALLERS).map(|_| submit_remotely(&link, EVER, GROUP, b"next"));
+        let link = Links::new(NodeId(1), NO_TIMEOUT, &executor).link_to(address);
+        let calls = (0..CALLERS).map(|_| submit_remotely(&link, NO_TIMEOUT, GROUP, b"next"));
         for outcome in futures::future::join_all(calls).await {
             assert!(outcome.is_err_and(|failure| failure.is_unsent()));
         }
-        assert_eq!(link.failed.get().0, 1);
+        assert_eq!(link.connect_failures.get().0, 1);
     }));
 }
 
 #[test]
-fn a_connection_on_which_others_are_answered_outlives_a_missed_deadline() {
+fn keeps_a_connection_on_which_other_calls_are_answered() {
     assert_eq!(connections_after_a_timeout(true), 1);
 }
 
 #[test]
-fn a_connection_on_which_nothing_is_answered_is_replaced() {
+fn replaces_a_connection_without_answers() {
     assert_eq!(connections_after_a_timeout(false), 2);
 }
--- a/agatetrestle/src/node/peer_server.rs
+++ b/agatetrestle/src/node/peer_server.rs
@@ -1,4 +1,4 @@
-//! The serving side of calls between our own processes.
+//! RPC server for other nodes of the cluster.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,28 +26,28 @@
 use crate::node::wire_members::write_digest;
 use crate::transport::accept::Gate;
 
-/// Connections that may be open at once; 400 nodes with a reconnect each stay well below.
-const CONNECTIONS: usize = 2_048;
-/// Largest call in 8-byte words: 64 MiB, above the largest batch and snapshot piece.
-const CALL_WORDS: usize = 8 << 20;
+/// Limit of open connections, several for each node of a large deployment.
+const MAX_PEER_CONNECTIONS: usize = 2_048;
+/// Limit of the size of a call in 8-byte words: 64 MiB, above the largest batch and snapshot chunk.
+const MAX_CALL_WORDS: usize = 8 << 20;
 
-/// Everything that other nodes may reach here.
+/// The services that a node offers to other nodes.
 #[derive(Default)]
 pub struct PeerServer {
-    /// Takes messages of a group.
+    /// Handlers of agreement messages, by group.
     pub handlers: MessageHandlers,
-    /// Takes requests to a group.
+    /// Services for requests, by group.
     pub services: BTreeMap<GroupId, Rc<dyn GroupService>>,
-    /// Answers heartbeats, where this node is a control replica.
+    /// Answers heartbeats if this node is a control replica.
     pub registry: Option<Rc<MemberRegistry>>,
-    /// Answers reports, where this node is a control replica of a deployment that finds itself.
+    /// Answers reports if this node is a control replica of a deployment with automatic membership.
     pub reports: Option<Rc<dyn ReportService>>,
 }
 
 #[derive(Clone)]
-struct Handle(Rc<PeerServer>);
+struct PeerHandler(Rc<PeerServer>);
 
-impl peer::Server for Handle {
+impl peer::Server for PeerHandler {
     async fn deliver(
         self: Rc<Self>,
         params: peer::DeliverParams,
@@ -59,7 +59,7 @@
                 read_message(message).map_err(|failure| capnp::Error::failed(failure.to_string()))?;
             match self.0.handlers.get(&message.group) {
                 Some(receive) => replies.extend(receive(message)),
-                None => debug!("A message for group {}, which is not here, was dropped.", message.group.0),
+                None => debug!("Dropped a message for group {}, which has no replica here.", message.group.0),
             }
         }
         let count = u32::try_from(replies.len()).unwrap_or(u32::MAX);
@@ -152,7 +152,7 @@
     }
 }
 
-/// Accepts connections of other nodes until the task is dropped.
+/// Accepts connections from other nodes until the task is dropped.
 pub async fn serve(
     server: Rc<PeerServer>,
     listener: TcpListener,
@@ -160,31 +160,31 @@
 ) {
     let gate = Gate::new("a peer");
     loop {
-        let (stream, admission) = gate.admit(&listener, || CONNECTIONS).await;
+        let (stream, admission) = gate.admit(&listener, || MAX_PEER_CONNECTIONS).await;
         let Some(executor) = executor.upgrade() else {
             return;
         };
-        let handle = Handle(server.clone());
+        let handler = PeerHandler(server.clone());
         let serving = async move {
-            serve_connection(handle, stream).await;
+            serve_connection(handler, stream).await;
             drop(admission);
         };
         executor.spawn(serving).detach();
     }
 }
 
-async fn serve_connection(handle: Handle, stream: TcpStream) {
+async fn serve_connection(handler: PeerHandler, stream: TcpStream) {
     if let Err(failure) = stream.set_nodelay(true) {
-        debug!("A connection of a peer could not be set up: {failure}.");
+        debug!("Failed to set up a connection from a peer: {failure}.");
         return;
     }
     let (reader, writer) = stream.split();
     let mut options = capnp::message::ReaderOptions::new();
-    options.traversal_limit_in_words(Some(CALL_WORDS));
+    options.traversal_limit_in_words(Some(MAX_CALL_WORDS));
     let network = VatNetwork::new(reader, writer, Side::Server, options);
-    let client: peer::Client = capnp_rpc::new_client(handle);
+    let client: peer::Client = capnp_rpc::new_client(handler);
     let system = RpcSystem::new(Box::new(network), Some(client.client));
     if let Err(failure) = system.await {
-        debug!("A connection of a peer ended: {failure}.");
+        debug!("A connection from a peer closed: {failure}.");
     }
 }
--- a/agatetrestle/src/node/router.rs
+++ b/agatetrestle/src/node/router.rs
@@ -1,8 +1,7 @@
 //! Finds the leader of a group and forwards requests to it, from any node.
 //!
-//! Every command is idempotent: the ledger knows its attempts and the control state
-//! its change ids. So a lost answer is followed by another try until the deadline, and only then
-//! told as unknown.
+//! Every command is idempotent: the ledger records attempts and the control state change ids. A request without an answer
+//! is therefore retried until its deadline, and only then reported as unknown.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -26,66 +25,65 @@
 use crate::node::wire::read_submission;
 use crate::ports::GroupError;
 
-/// Time after which a request that found no leader is tried again; an election takes longer.
-const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Doublings of [`RETRY_INTERVAL`] with each further try of one request. All nodes ask at the same time where a leader is lost or
-/// late; 255 of them that asked every 20 ms took the processor time that the group needed to answer.
-const MAX_DOUBLINGS: u32 = 2;
-/// Time without an answer after which the other holders are asked whether another one leads by now. A commit takes 10 ms and
-/// a try lasts 400 ms; one that was under way when its leader was lost waited 0.7 s for the next.
+/// Initial delay before a request is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Limit of the exponential backoff from [`RETRY_DELAY`]. All nodes retry at the same time when a leader is lost, and
+/// without backoff they would overload the group.
+const MAX_RETRY_DOUBLINGS: u32 = 2;
+/// Time without an answer after which the other holders are asked for the leader. Longer than a commit, and shorter than
+/// the timeout of an attempt.
 const SEARCH_DELAY: Duration = Duration::from_millis(100);
 
-/// The way to one group.
+/// Routes requests to the leader of one group.
 pub struct Router {
     group: GroupId,
     node: NodeId,
     local: Option<Rc<dyn GroupService>>,
     links: Rc<Links>,
-    order: RefCell<Vec<NodeId>>,
-    hint: Cell<Option<NodeId>>,
-    /// Whether a request asks the holders who leads.
+    holders: RefCell<Vec<NodeId>>,
+    leader_hint: Cell<Option<NodeId>>,
+    /// Whether a request is searching for the leader; others wait for its result.
     searching: Cell<bool>,
     clock: Clock,
     timeouts: RequestTimeouts,
 }
 
-/// A search under way; dropped, another request may search.
-struct Search<'a>(&'a Cell<bool>);
+/// Clears [`Router::searching`] when dropped.
+struct SearchGuard<'a>(&'a Cell<bool>);
 
-impl Drop for Search<'_> {
+impl Drop for SearchGuard<'_> {
     fn drop(&mut self) {
         self.0.set(false);
     }
 }
 
-/// When a request that the leader has no room for is tried again.
+/// What to do when the leader's queue is full.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum RetryRule {
-    /// Until a leader accepts it or its time is up.
-    UntilAccepted,
-    /// Until a replica that leads has no room for it.
-    UntilRefused,
+enum BusyPolicy {
+    /// Retry until a leader accepts the request or its timeout ends.
+    Retry,
+    /// Fail at once.
+    Fail,
 }
 
-/// The next pause of a request, longer with each.
-fn pause(pauses: &mut u32) -> Duration {
-    let pause = RETRY_INTERVAL * 2_u32.pow((*pauses).min(MAX_DOUBLINGS));
-    *pauses += 1;
-    pause
+/// Returns the delay before the next retry, with exponential backoff.
+fn next_delay(retries: &mut u32) -> Duration {
+    let delay = RETRY_DELAY * 2_u32.pow((*retries).min(MAX_RETRY_DOUBLINGS));
+    *retries += 1;
+    delay
 }
 
 /// The timeouts of a router.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestTimeouts {
-    /// Of one attempt. Repeating is safe, so this is short: a leader answers much sooner, and a frozen replica never
-    /// does.
+    /// Timeout of one attempt. Retries are safe, so it is only somewhat longer than a leader takes to answer.
     pub attempt: Duration,
-    /// Of a request with all its attempts.
+    /// Timeout of a request with all its attempts.
     pub request: Duration,
 }
 
 impl Router {
-    /// A way to a group by its holders; `local` is this node's replica if it is one of them.
+    /// Creates a router to the group that `holders` have replicas of; `local` is the replica of this node, if any.
     #[must_use]
     pub fn new(
         group: GroupId,
@@ -96,14 +94,13 @@
         clock: Clock,
         timeouts: RequestTimeouts,
     ) -> Self {
-        let order = RefCell::default();
         let router = Self {
             group,
             node,
             local,
             links,
-            order,
-            hint: Cell::new(None),
+            holders: RefCell::default(),
+            leader_hint: Cell::new(None),
             searching: Cell::new(false),
             clock,
             timeouts,
@@ -112,75 +109,74 @@
         router
     }
 
-    /// Replaces the holders that are asked for the leader.
+    /// Replaces the holders. This node goes first if it is one of them.
     pub fn set_holders(&self, holders: &[NodeId]) {
-        let mut order = holders.to_vec();
-        order.sort_by_key(|holder| *holder != self.node);
-        self.order.replace(order);
+        let mut holders = holders.to_vec();
+        holders.sort_by_key(|holder| *holder != self.node);
+        self.holders.replace(holders);
     }
 
-    /// Forwards a coded request and returns the coded reply.
+    /// Forwards an encoded request and returns the encoded reply.
     ///
     /// # Errors
     ///
-    /// [`GroupError::NotProposed`] if no replica can have let it into the log, else
+    /// Fails with [`GroupError::NotProposed`] if the request certainly did not enter the log, else with
     /// [`GroupError::Unknown`].
     pub async fn submit(&self, request: Vec<u8>) -> Result<Vec<u8>, GroupError> {
-        self.forward(request, RetryRule::UntilAccepted).await
+        self.forward(request, BusyPolicy::Retry).await
     }
 
-    /// Forwards a request as [`Router::submit`] does, but fails at once if the leader's queue is full. For requests that
-    /// begin something new.
+    /// Forwards a request as [`Router::submit`] does, but fails at once if the leader's queue is full. For new work.
     ///
     /// # Errors
     ///
     /// As [`Router::submit`].
     pub async fn try_submit(&self, request: Vec<u8>) -> Result<Vec<u8>, GroupError> {
-        self.forward(request, RetryRule::UntilRefused).await
+        self.forward(request, BusyPolicy::Fail).await
     }
 
-    async fn forward(&self, request: Vec<u8>, rule: RetryRule) -> Result<Vec<u8>, GroupError> {
+    async fn forward(&self, request: Vec<u8>, policy: BusyPolicy) -> Result<Vec<u8>, GroupError> {
         let start = self.clock.now();
         let mut ambiguous = false;
         let mut suspect = None;
         let mut reason: Arc<str> = "the group has no replica".into();
-        let mut turn = 0;
-        let mut pauses = 0;
+        let mut cursor = 0;
+        let mut retries = 0;
         while self.clock.now().since(start) < self.timeouts.request {
-            if self.order.borrow().is_empty() {
-                // A process that has just started is told of the holders a moment after the rest.
-                Timer::after(RETRY_INTERVAL).await;
+            if self.holders.borrow().is_empty() {
+                // A process that has just started learns the holders after a short time.
+                Timer::after(RETRY_DELAY).await;
                 continue;
             }
-            let target = self.hint.get().unwrap_or_else(|| self.next_holder(&mut turn, suspect));
-            match self.try_watched(target, &request).await {
+            let target = self.leader_hint.get().unwrap_or_else(|| self.next_holder(&mut cursor, suspect));
+            match self.try_or_search(target, &request).await {
                 Submission::Applied(reply) => return Ok(reply),
                 Submission::NotLeader(leader) => {
                     let hint = leader.filter(|leader| *leader != target && Some(*leader) != suspect);
-                    self.hint.set(hint);
+                    self.leader_hint.set(hint);
                     reason = "the group has no leader".into();
                     if hint.is_some() {
                         continue;
                     }
                 }
-                Submission::Refused(text) if rule == RetryRule::UntilRefused && !ambiguous => {
+                Submission::Refused(text) if policy == BusyPolicy::Fail && !ambiguous => {
                     return Err(GroupError::NotProposed { reason: text });
                 }
-                // It leads and has no room now.
+                // Usually the leader's queue is full.
                 Submission::Refused(text) => reason = text,
                 Submission::Unreachable(text) => {
-                    self.hint.set(None);
+                    self.leader_hint.set(None);
                     reason = text;
                 }
                 Submission::Unknown(text) => {
-                    self.hint.set(None);
-                    // A follower may name a frozen leader until it has elected another.
+                    self.leader_hint.set(None);
+                    // A follower may name an unresponsive leader until another is elected.
                     suspect = Some(target);
                     ambiguous = true;
                     reason = text;
                 }
             }
-            Timer::after(pause(&mut pauses)).await;
+            Timer::after(next_delay(&mut retries)).await;
         }
         if ambiguous {
             return Err(GroupError::Unknown { reason });
@@ -188,56 +184,58 @@
         Err(GroupError::NotProposed { reason })
     }
 
-    /// The next holder in turn, but for the one that just missed its deadline if there are others.
-    fn next_holder(&self, turn: &mut usize, suspect: Option<NodeId>) -> NodeId {
-        let order = self.order.borrow();
-        let next = order[*turn % order.len()];
-        *turn += 1;
-        if Some(next) != suspect || order.len() == 1 {
+    /// Returns the next holder in turn, skipping `suspect` if there are others.
+    fn next_holder(&self, cursor: &mut usize, suspect: Option<NodeId>) -> NodeId {
+        let holders = self.holders.borrow();
+        let next = holders[*cursor % holders.len()];
+        *cursor += 1;
+        if Some(next) != suspect || holders.len() == 1 {
             return next;
         }
-        drop(order);
-        self.next_holder(turn, suspect)
+        drop(holders);
+        self.next_holder(cursor, suspect)
     }
 
-    /// Tries one holder; while it says nothing for long, the others are asked who leads.
-    async fn try_watched(&self, target: NodeId, request: &[u8]) -> Submission {
-        let trying = pin!(self.try_once(target, request));
-        let trying = match select(trying, Timer::after(SEARCH_DELAY)).await {
-            Either::Left((submission, _)) => return self.note(target, submission),
-            Either::Right((_, trying)) => trying,
+    /// Sends the request to one holder, and searches for another leader if there is no answer within [`SEARCH_DELAY`].
+    async fn try_or_search(&self, target: NodeId, request: &[u8]) -> Submission {
+        let attempt = pin!(self.send_once(target, request));
+        let attempt = match select(attempt, Timer::after(SEARCH_DELAY)).await {
+            Either::Left((submission, _)) => return self.record_leader(target, submission),
+            Either::Right((_, attempt)) => attempt,
         };
-        match select(trying, pin!(self.find_other(target, request))).await {
-            Either::Left((submission, _)) => self.note(target, submission),
+        match select(attempt, pin!(self.find_other_leader(target, request))).await {
+            Either::Left((submission, _)) => self.record_leader(target, submission),
             Either::Right((submission, _)) => submission,
         }
     }
 
-    fn note(&self, target: NodeId, submission: Submission) -> Submission {
+    fn record_leader(&self, target: NodeId, submission: Submission) -> Submission {
         if matches!(submission, Submission::Applied(_)) {
-            self.hint.set(Some(target));
+            self.leader_hint.set(Some(target));
         }
         submission
     }
 
-    /// Asks the other holders in turn until one of them leads or names another leader than `silent`; without end otherwise.
-    /// The request may thus be sent twice, which is safe. Of the requests that wait one asks, and the others see
-    /// what it finds.
-    async fn find_other(&self, silent: NodeId, request: &[u8]) -> Submission {
-        let mut pauses = 0;
+    /// Sends the request to the other holders until one of them is the leader or names one other than `silent`; never
+    /// returns otherwise. The request may be sent twice, which is safe. Only one request searches at a time, and the
+    /// others use its result.
+    async fn find_other_leader(&self, silent: NodeId, request: &[u8]) -> Submission {
+        let mut retries = 0;
         loop {
-            if let Some(leader) = self.hint.get().filter(|leader| *leader != silent) {
+            if let Some(leader) = self.leader_hint.get().filter(|leader| *leader != silent) {
                 return Submission::NotLeader(Some(leader));
             }
             if !self.searching.replace(true) {
-                let search = Search(&self.searching);
+                let search = SearchGuard(&self.searching);
                 let others: Vec<NodeId> =
-                    self.order.borrow().iter().copied().filter(|node| *node != silent).collect();
+                    self.holders.borrow().iter().copied().filter(|node| *node != silent).collect();
                 for other in others {
-                    match self.try_once(other, request).await {
-                        Submission::Applied(reply) => return self.note(other, Submission::Applied(reply)),
+                    match self.send_once(other, request).await {
+                        Submission::Applied(reply) => {
+                            return self.record_leader(other, Submission::Applied(reply));
+                        }
                         Submission::NotLeader(Some(leader)) if leader != silent => {
-                            self.hint.set(Some(leader));
+                            self.leader_hint.set(Some(leader));
                             return Submission::NotLeader(Some(leader));
                         }
                         _ => {}
@@ -245,11 +243,11 @@
                 }
                 drop(search);
             }
-            Timer::after(pause(&mut pauses)).await;
+            Timer::after(next_delay(&mut retries)).await;
         }
     }
 
-    async fn try_once(&self, target: NodeId, request: &[u8]) -> Submission {
+    async fn send_once(&self, target: NodeId, request: &[u8]) -> Submission {
         if target == self.node
             && let Some(local) = &self.local
         {
@@ -266,7 +264,7 @@
     }
 }
 
-/// Sends a request to one replica, once.
+/// Sends a request to one replica, without retries.
 pub(crate) async fn submit_remotely(
     link: &PeerLink,
     deadline: Duration,
--- a/agatetrestle/src/node/router/tests.rs
+++ b/agatetrestle/src/node/router/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the way to a leader that is lost while a request is under way.
+//! Tests of routing when the leader is lost during a request.
 
 use std::net::SocketAddr;
 
@@ -10,20 +10,20 @@
 
 const OWN: NodeId = NodeId(1);
 const SILENT: NodeId = NodeId(2);
-/// Longer than any test runs: a try at a silent holder never ends by itself.
-const EVER: Duration = Duration::from_hours(1);
+/// Longer than any test, so that an attempt at a silent holder never times out.
+const NO_TIMEOUT: Duration = Duration::from_hours(1);
 
-/// A replica that answers each request with one submission.
+/// A replica that answers every request with the same submission.
 struct Replica {
-    says: Submission,
+    answer: Submission,
     asked: Cell<u32>,
 }
 
 impl GroupService for Replica {
     fn submit(&self, _request: Vec<u8>) -> LocalBoxFuture<'_, Submission> {
         self.asked.set(self.asked.get() + 1);
-        let says = self.says.clone();
-        Box::pin(async move { says })
+        let answer = self.answer.clone();
+        Box::pin(async move { answer })
     }
 
     fn history(&self, _offset: u64) -> Vec<u8> {
@@ -31,72 +31,72 @@
     }
 }
 
-/// Takes connections and says nothing on them.
+/// Accepts connections but never answers.
 async fn silent_peer() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
 }
 
-/// Hands requests over while the last known leader is silent; what came of them, and how often the other was asked.
-fn submit_past_a_silent_leader(says: Submission, requests: usize) -> (Vec<Vec<u8>>, u32) {
+/// Submits requests while the last known leader is silent. Returns the answers and how often the other holder was asked.
+fn submit_past_a_silent_leader(answer: Submission, requests: usize) -> (Vec<Vec<u8>>, u32) {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let (_listener, address) = silent_peer().await;
-        let links = Links::new(OWN, EVER, &executor);
+        let links = Links::new(OWN, NO_TIMEOUT, &executor);
         links.add_address(SILENT, address);
-        let replica = Rc::new(Replica { says, asked: Cell::new(0) });
-        let timeouts = RequestTimeouts { attempt: EVER, request: EVER };
+        let replica = Rc::new(Replica { answer, asked: Cell::new(0) });
+        let timeouts = RequestTimeouts { attempt: NO_TIMEOUT, request: NO_TIMEOUT };
         let local: Rc<dyn GroupService> = replica.clone();
         let holders = [OWN, SILENT];
         let router = Router::new(GroupId(1), OWN, Some(local), links, &holders, Clock::start(), timeouts);
-        router.hint.set(Some(SILENT));
+        router.leader_hint.set(Some(SILENT));
         let all = (0..requests).map(|_| router.submit(vec![7]));
         let answers = futures::future::join_all(all).await;
-        assert_eq!(router.hint.get(), Some(OWN), "the next request goes there at once");
+        assert_eq!(router.leader_hint.get(), Some(OWN), "the next request goes to the new leader");
         (answers.into_iter().map(Result::unwrap).collect(), replica.asked.get())
     }))
 }
 
 #[test]
-fn a_request_under_way_does_not_wait_for_a_silent_leader_once_another_leads() {
+fn pending_request_moves_from_a_silent_leader_to_a_new_one() {
     let (answers, asked) = submit_past_a_silent_leader(Submission::Applied(vec![9]), 1);
     assert_eq!((answers, asked), (vec![vec![9]], 1));
 }
 
 #[test]
-fn of_many_that_wait_one_searches_and_all_go_where_it_found_the_leader() {
+fn concurrent_requests_share_one_leader_search() {
     let (answers, asked) = submit_past_a_silent_leader(Submission::Applied(vec![9]), 20);
-    assert_eq!((answers.len(), asked), (20, 20), "each is handed over once");
+    assert_eq!((answers.len(), asked), (20, 20), "each request is submitted once");
 }
 
 #[test]
-fn a_request_waits_for_holders_that_are_told_a_moment_later() {
+fn request_waits_until_holders_are_set() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
-        let replica = Rc::new(Replica { says: Submission::Applied(vec![9]), asked: Cell::new(0) });
-        let timeouts = RequestTimeouts { attempt: EVER, request: EVER };
-        let links = Links::new(OWN, EVER, &executor);
+        let replica = Rc::new(Replica { answer: Submission::Applied(vec![9]), asked: Cell::new(0) });
+        let timeouts = RequestTimeouts { attempt: NO_TIMEOUT, request: NO_TIMEOUT };
+        let links = Links::new(OWN, NO_TIMEOUT, &executor);
         let router = Router::new(GroupId(1), OWN, Some(replica), links, &[], Clock::start(), timeouts);
-        let telling = async { router.set_holders(&[OWN]) };
-        let (answer, ()) = futures::future::join(router.submit(vec![7]), telling).await;
-        assert_eq!(answer.unwrap(), [9]);
+        let update = async { router.set_holders(&[OWN]) };
+        let (reply, ()) = futures::future::join(router.submit(vec![7]), update).await;
+        assert_eq!(reply.unwrap(), [9]);
     }));
 }
 
 #[test]
-fn who_offers_something_new_is_refused_at_once_and_what_must_be_settled_is_not() {
+fn try_submit_fails_at_once_and_submit_retries_while_busy() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
-        let says = Submission::Refused("too many commands are under way".into());
-        let replica = Rc::new(Replica { says, asked: Cell::new(0) });
-        let timeouts = RequestTimeouts { attempt: EVER, request: RETRY_INTERVAL * 4 };
-        let links = Links::new(OWN, EVER, &executor);
+        let answer = Submission::Refused("too many commands are under way".into());
+        let replica = Rc::new(Replica { answer, asked: Cell::new(0) });
+        let timeouts = RequestTimeouts { attempt: NO_TIMEOUT, request: RETRY_DELAY * 4 };
+        let links = Links::new(OWN, NO_TIMEOUT, &executor);
         let local: Rc<dyn GroupService> = replica.clone();
         let router = Router::new(GroupId(1), OWN, Some(local), links, &[OWN], Clock::start(), timeouts);
         assert!(matches!(router.try_submit(vec![7]).await, Err(GroupError::NotProposed { .. })));
         assert_eq!(replica.asked.get(), 1);
         assert!(matches!(router.submit(vec![7]).await, Err(GroupError::NotProposed { .. })));
-        assert!(replica.asked.get() > 2, "it was handed over again while there was time");
+        assert!(replica.asked.get() > 2, "submit retries until its timeout");
     }));
 }
--- a/agatetrestle/src/node/wire.rs
+++ b/agatetrestle/src/node/wire.rs
@@ -1,4 +1,4 @@
-//! Reading and writing of [`Message`] as the schema's `AgreementMessage`, and of what became of a request.
+//! Conversion of [`Message`] and [`Submission`] to and from the RPC schema.
 
 use std::sync::Arc;
 
@@ -16,19 +16,19 @@
 use crate::ids::NodeId;
 use crate::node::service::Submission;
 
-/// A message that this build can't read.
+/// Failure to read a message.
 #[derive(Debug, Snafu)]
 pub enum WireError {
-    /// The bytes are no message of the schema.
+    /// The bytes do not match the schema.
     #[snafu(context(false), display("the message is malformed: {source}"))]
     Malformed {
-        /// What the library found.
+        /// Error of the RPC library.
         source: capnp::Error,
     },
-    /// The message is of a kind that a newer build added.
+    /// The message has a kind that a newer build added.
     #[snafu(context(false), display("the message is of an unknown kind: {source}"))]
     UnknownKind {
-        /// The number that is not in this build's schema.
+        /// The value that is not in the schema of this build.
         source: capnp::NotInSchema,
     },
 }
@@ -62,11 +62,11 @@
     Ok(Entry { position, kind, payload: Arc::from(reader.get_payload()?) })
 }
 
-/// Writes a message.
+/// Writes a message into a builder.
 ///
 /// # Panics
 ///
-/// Panics if a message holds more than 2^32 entries, which its batch size rules out.
+/// Panics if a message holds more than 2^32 entries, which the batch size limit rules out.
 pub fn write_message(mut builder: agreement_message::Builder<'_>, message: &Message) {
     builder.set_group(message.group.0);
     builder.set_from(message.from.0);
@@ -119,11 +119,11 @@
     }
 }
 
-/// Reads a message.
+/// Reads a message from its wire format.
 ///
 /// # Errors
 ///
-/// Fails if the message is malformed or of a kind that this build does not know.
+/// Fails if the message is malformed or has a kind unknown to this build.
 pub fn read_message(reader: agreement_message::Reader<'_>) -> Result<Message, WireError> {
     use agreement_message::body::Which;
 
@@ -170,7 +170,6 @@
     })
 }
 
-/// Reads what became of a request at another node.
 pub(crate) fn read_submission(reader: submission::Reader<'_>) -> Result<Submission, capnp::Error> {
     Ok(match reader.which()? {
         submission::Applied(reply) => Submission::Applied(reply?.to_vec()),
@@ -180,7 +179,6 @@
     })
 }
 
-/// Writes what became of a request that came from another node.
 pub(crate) fn write_submission(mut builder: submission::Builder<'_>, submission: &Submission) {
     match submission {
         Submission::Applied(reply) => builder.set_applied(reply),
--- a/agatetrestle/src/node/wire/tests.rs
+++ b/agatetrestle/src/node/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Every message survives writing and reading.
+//! Round-trip tests of the wire format.
 
 use std::sync::Arc;
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn every_message_survives_writing_and_reading() {
+fn round_trips_every_message() {
     for body in bodies() {
         let message = Message { group: GroupId(1), from: NodeId(2), to: NodeId(3), term: 4, body };
         let mut builder = capnp::message::Builder::new_default();
--- a/agatetrestle/src/node/wire_members.rs
+++ b/agatetrestle/src/node/wire_members.rs
@@ -1,4 +1,4 @@
-//! Reading and writing of heartbeats and digests as in the schema.
+//! Conversion of heartbeats and digests to and from the RPC schema.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use crate::members::message::Told;
 use crate::node::wire::WireError;
 
-fn text(reader: capnp::text::Reader<'_>) -> Result<Arc<str>, WireError> {
+fn read_text(reader: capnp::text::Reader<'_>) -> Result<Arc<str>, WireError> {
     let text = reader.to_str().map_err(capnp::Error::from)?;
     Ok(text.into())
 }
 
-fn count(length: usize) -> u32 {
+fn list_len(length: usize) -> u32 {
     u32::try_from(length).unwrap_or(u32::MAX)
 }
 
@@ -37,12 +37,12 @@
 
 fn read_signs(list: struct_list::Reader<'_, sign::Owned>) -> Result<Vec<Sign>, WireError> {
     let read = |sign: sign::Reader<'_>| -> Result<Sign, WireError> {
-        Ok(Sign { name: text(sign.get_name()?)?, incarnation: sign.get_incarnation() })
+        Ok(Sign { name: read_text(sign.get_name()?)?, incarnation: sign.get_incarnation() })
     };
     list.iter().map(read).collect()
 }
 
-/// Writes a heartbeat.
+/// Writes a heartbeat into a builder.
 pub fn write_heartbeat(mut builder: heartbeat::Builder<'_>, beat: &Heartbeat) {
     builder.set_node(beat.node.0);
     builder.set_vm(&*beat.vm);
@@ -55,10 +55,10 @@
     builder.set_stopping(beat.stopping);
     builder.set_digest_epoch(beat.told.epoch);
     builder.set_digest_sequence(beat.told.sequence);
-    write_signs(builder.init_leaving(count(beat.leaving.len())), &beat.leaving);
+    write_signs(builder.init_leaving(list_len(beat.leaving.len())), &beat.leaving);
 }
 
-/// Reads a heartbeat.
+/// Reads a heartbeat from its wire format.
 ///
 /// # Errors
 ///
@@ -66,12 +66,12 @@
 pub fn read_heartbeat(reader: heartbeat::Reader<'_>) -> Result<Heartbeat, WireError> {
     Ok(Heartbeat {
         node: NodeId(reader.get_node()),
-        vm: text(reader.get_vm()?)?,
-        failure_domain: text(reader.get_failure_domain()?)?,
-        region: text(reader.get_region()?)?,
+        vm: read_text(reader.get_vm()?)?,
+        failure_domain: read_text(reader.get_failure_domain()?)?,
+        region: read_text(reader.get_region()?)?,
         incarnation: reader.get_incarnation(),
-        caller_address: text(reader.get_caller_address()?)?,
-        peer_address: text(reader.get_peer_address()?)?,
+        caller_address: read_text(reader.get_caller_address()?)?,
+        peer_address: read_text(reader.get_peer_address()?)?,
         revision: reader.get_revision(),
         stopping: reader.get_stopping(),
         leaving: read_signs(reader.get_leaving()?)?,
@@ -106,12 +106,12 @@
     };
     let beat = Heartbeat {
         node: NodeId(reader.get_node()),
-        vm: text(reader.get_vm()?)?,
-        failure_domain: text(reader.get_failure_domain()?)?,
-        region: text(reader.get_region()?)?,
+        vm: read_text(reader.get_vm()?)?,
+        failure_domain: read_text(reader.get_failure_domain()?)?,
+        region: read_text(reader.get_region()?)?,
         incarnation: reader.get_incarnation(),
-        caller_address: text(reader.get_caller_address()?)?,
-        peer_address: text(reader.get_peer_address()?)?,
+        caller_address: read_text(reader.get_caller_address()?)?,
+        peer_address: read_text(reader.get_peer_address()?)?,
         revision: reader.get_revision(),
         stopping: state == MemberState::Stopping,
         leaving: Vec::new(),
@@ -120,21 +120,21 @@
     Ok(Member { beat, state })
 }
 
-/// Writes a digest.
+/// Writes a digest into a builder.
 pub fn write_digest(mut builder: digest::Builder<'_>, digest: &Digest) {
     builder.set_revision(digest.revision);
     builder.set_lease_millis(u32::try_from(digest.lease.as_millis()).unwrap_or(u32::MAX));
     builder.set_epoch(digest.told.epoch);
     builder.set_sequence(digest.told.sequence);
     builder.set_full(digest.full);
-    write_signs(builder.reborrow().init_leaving(count(digest.leaving.len())), &digest.leaving);
-    let mut members = builder.init_members(count(digest.members.len()));
+    write_signs(builder.reborrow().init_leaving(list_len(digest.leaving.len())), &digest.leaving);
+    let mut members = builder.init_members(list_len(digest.members.len()));
     for (index, member) in (0..members.len()).zip(&digest.members) {
         write_member(members.reborrow().get(index), member);
     }
 }
 
-/// Reads a digest.
+/// Reads a digest from its wire format.
 ///
 /// # Errors
 ///
