--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -272,13 +272,13 @@
         found
     } else if let Some((id, voters)) = founded(frame).await {
         founders = Some(voters);
-        opener.find(id).await?
+        opener.load(id).await?
     } else {
         held.spare.set(true);
         subscriber.report_now();
         info!("The store is spare until a state group takes it in.");
         // The sending side lasts as long as the process.
-        opener.find(invitations.recv().await.unwrap_or(FIRST_STATE_GROUP)).await?
+        opener.load(invitations.recv().await.unwrap_or(FIRST_STATE_GROUP)).await?
     };
     let id = found.group();
     held.group.set(Some(id));
@@ -298,7 +298,7 @@
         return Ok(None);
     };
     for id in state_groups().filter(|id| has_folder(folder, *id)) {
-        let found = opener.find(id).await?;
+        let found = opener.load(id).await?;
         if !found.is_empty() {
             return Ok(Some(found));
         }
--- a/agatetrestle/src/node/replicas.rs
+++ b/agatetrestle/src/node/replicas.rs
@@ -144,7 +144,7 @@
     where
         M: StateMachine + 'static,
     {
-        let found = self.find(id).await?;
+        let found = self.load(id).await?;
         self.open_stored(found, machine, holders, missing).await
     }
 
@@ -153,7 +153,7 @@
     /// # Errors
     ///
     /// Fails if the files can't be used or the node has no data folder for them.
-    pub async fn find(&self, group: GroupId) -> Result<StoredReplica, NodeError> {
+    pub async fn load(&self, group: GroupId) -> Result<StoredReplica, NodeError> {
         let folder = self.storage.data_folder.clone().context(NoDataFolderSnafu { group })?;
         let (storage, restored) = open_storage(&folder, group, self.storage.segment).await?;
         Ok(StoredReplica { group, folder, storage, restored })
