--- a/agatetrestle/src/node/assembly.rs
+++ b/agatetrestle/src/node/assembly.rs
@@ -1,4 +1,4 @@
-//! The slices of a node, made and connected to each other.
+//! Creates the components of a node and connects them to each other.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -24,7 +24,7 @@
 use crate::members::message::Heartbeat;
 use crate::members::roster::Roster;
 use crate::metrics::Metrics;
-use crate::node::Replicas;
+use crate::node::NodeReplicas;
 use crate::node::control_port::ControlPort;
 use crate::node::heartbeats::HeartbeatSender;
 use crate::node::ledger_port::LedgerPort;
@@ -46,12 +46,12 @@
 use crate::trace::recorder::Recording;
 use crate::trace::recorder::TraceLog;
 
-/// One try of a request to a group is given up after this many election timeouts.
-const TRY_ELECTION_TIMEOUTS: u32 = 2;
-/// Tries of a request to a group are given up after this many call deadlines.
-const ROUTER_DEADLINES: u32 = 2;
+/// Timeout of one attempt of a request to a group, in election timeouts.
+const ATTEMPT_ELECTION_TIMEOUTS: u32 = 2;
+/// Timeout of a request to a group with all its attempts, in call deadlines.
+const REQUEST_CALL_DEADLINES: u32 = 2;
 
-/// The slices of a node, put together.
+/// The components of a node.
 pub(super) struct Assembly {
     node: NodeId,
     incarnation: u64,
@@ -60,7 +60,7 @@
     pub(super) stopping: Rc<Cell<bool>>,
     scheduler: Rc<RefCell<Box<dyn Scheduler>>>,
     traces: Rc<TraceLog>,
-    pub(super) calls: Rc<Dispatcher>,
+    pub(super) dispatcher: Rc<Dispatcher>,
     pub(super) control: Rc<ControlPort>,
     pub(super) ledger: Rc<LedgerPort>,
     registry: Option<Rc<MemberRegistry>>,
@@ -73,7 +73,7 @@
         addresses: &Listen,
         clock: Clock,
         links: &Rc<Links>,
-        replicas: &Replicas,
+        replicas: &NodeReplicas,
         metrics: &Rc<Metrics>,
     ) -> Self {
         let node = NodeId(settings.node.id);
@@ -82,18 +82,18 @@
         let stopping = Rc::new(Cell::new(false));
         let router = |group, local| {
             let holders = replicas::holders(settings, group);
-            let each = timing.election_timeout * TRY_ELECTION_TIMEOUTS;
-            let timeouts = RequestTimeouts { attempt: each, request: timing.peer_call * ROUTER_DEADLINES };
+            let attempt = timing.election_timeout * ATTEMPT_ELECTION_TIMEOUTS;
+            let timeouts = RequestTimeouts { attempt, request: timing.peer_call * REQUEST_CALL_DEADLINES };
             Rc::new(Router::new(group, node, local, links.clone(), &holders, clock, timeouts))
         };
         let control_router = router(CONTROL_GROUP, replicas.control_service());
         let control = Rc::new(ControlPort::new(control_router, clock, timing.clock_drift, stopping.clone()));
         let ledger = Rc::new(LedgerPort::new(router(FIRST_STATE_GROUP, replicas.state_service())));
         let traces = Rc::new(TraceLog::default());
-        let deciding = scheduler::build(Policy::default(), SchedulerConfig::default(), incarnation);
-        let recording = Recording::new(deciding, traces.clone(), metrics.clone());
+        let inner = scheduler::build(Policy::default(), SchedulerConfig::default(), incarnation);
+        let recording = Recording::new(inner, traces.clone(), metrics.clone());
         let scheduler: Rc<RefCell<Box<dyn Scheduler>>> = Rc::new(RefCell::new(Box::new(recording)));
-        let calls = dispatcher(&scheduler, timing.peer_call, clock);
+        let dispatcher = new_dispatcher(&scheduler, timing.peer_call, clock);
         let registry = replicas.control.clone().map(|group| {
             let lease = timing.configuration_lease;
             Rc::new(MemberRegistry::new(group, links.clone(), clock, incarnation, timing.heartbeat, lease))
@@ -105,7 +105,7 @@
             links: links.clone(),
             registry: registry.clone(),
             control: control.clone(),
-            calls: calls.clone(),
+            dispatcher: dispatcher.clone(),
             roster: RefCell::new(Roster::default()),
             stopping: stopping.clone(),
             clock,
@@ -119,7 +119,7 @@
             stopping,
             scheduler,
             traces,
-            calls,
+            dispatcher,
             control,
             ledger,
             registry,
@@ -132,7 +132,7 @@
             ledger: self.ledger.clone(),
             control: self.control.clone(),
             members: self.heartbeats.clone(),
-            dispatcher: self.calls.clone(),
+            dispatcher: self.dispatcher.clone(),
             recorder: metrics.clone(),
             timer: Rc::new(SystemTimer),
             clock: self.clock,
@@ -144,21 +144,21 @@
         }
     }
 
-    pub(super) fn orders(&self, replicas: &Replicas) -> Option<OrderLoop> {
+    pub(super) fn order_loop(&self, replicas: &NodeReplicas) -> Option<OrderLoop> {
         let timing = &self.settings.timing;
         let engines = Rc::new(HttpEngineAdmin { timeout: timing.peer_call });
-        let wait_out = timing.election_timeout + timing.clock_drift;
+        let takeover_delay = timing.election_timeout + timing.clock_drift;
         let group = replicas.control.clone()?;
-        Some(OrderLoop::new(self.node, self.clock, group, self.control.clone(), engines, wait_out))
+        Some(OrderLoop::new(self.node, self.clock, group, self.control.clone(), engines, takeover_delay))
     }
 
-    pub(super) fn peer_server(&self, replicas: &Replicas) -> Rc<PeerServer> {
+    pub(super) fn peer_server(&self, replicas: &NodeReplicas) -> Rc<PeerServer> {
         let mut server = PeerServer { registry: self.registry.clone(), ..PeerServer::default() };
         server.handlers = replicas.handlers();
         let services =
             [(CONTROL_GROUP, replicas.control_service()), (FIRST_STATE_GROUP, replicas.state_service())];
-        let held = services.into_iter().filter_map(|(id, service): (GroupId, _)| Some((id, service?)));
-        server.services = held.collect();
+        let local = services.into_iter().filter_map(|(id, service): (GroupId, _)| Some((id, service?)));
+        server.services = local.collect();
         Rc::new(server)
     }
 
@@ -176,13 +176,13 @@
     }
 }
 
-fn dispatcher(
+fn new_dispatcher(
     scheduler: &Rc<RefCell<Box<dyn Scheduler>>>,
-    connect_within: Duration,
+    connect_timeout: Duration,
     clock: Clock,
 ) -> Rc<Dispatcher> {
     let timer: Rc<SystemTimer> = Rc::new(SystemTimer);
-    let backends = Rc::new(HttpBackendClient::new(timer.clone(), connect_within));
+    let backends = Rc::new(HttpBackendClient::new(timer.clone(), connect_timeout));
     Rc::new(Dispatcher::new(scheduler.clone(), backends.clone(), backends, timer, clock))
 }
 
@@ -199,8 +199,8 @@
     }
 }
 
-/// The wall clock at start, in microseconds since 1970: higher after each restart as long as that
-/// clock is not set back by more than the process was down.
+/// Returns the wall clock in microseconds since 1970. It is higher after each restart unless the clock was set back by more
+/// than the process was down.
 fn incarnation() -> u64 {
     micros(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
 }
--- a/agatetrestle/src/node/control_port.rs
+++ b/agatetrestle/src/node/control_port.rs
@@ -1,4 +1,4 @@
-//! The control group as the other slices see it: commands by its leader, and what is in force here.
+//! Access to the control group: commands through its leader, and the configuration in force on this node.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,35 +21,35 @@
 use crate::ports::GroupError;
 use crate::ports::NotTaking;
 
-/// What is in force on this node, with a way to change it.
+/// The configuration in force on this node, and the router for commands to the control group.
 pub struct ControlPort {
     router: Rc<Router>,
-    in_force: RefCell<InForce>,
+    configuration: RefCell<InForce>,
     clock: Clock,
-    drift: Duration,
+    clock_drift: Duration,
     stopping: Rc<Cell<bool>>,
 }
 
 impl ControlPort {
-    /// A port with nothing in force yet.
+    /// Creates a port without a configuration.
     #[must_use]
-    pub fn new(router: Rc<Router>, clock: Clock, drift: Duration, stopping: Rc<Cell<bool>>) -> Self {
-        Self { router, in_force: RefCell::default(), clock, drift, stopping }
+    pub fn new(router: Rc<Router>, clock: Clock, clock_drift: Duration, stopping: Rc<Cell<bool>>) -> Self {
+        Self { router, configuration: RefCell::default(), clock, clock_drift, stopping }
     }
 
-    /// Puts a newer configuration in force; returns whether it was newer.
+    /// Replaces the configuration if the new one is newer; returns whether it was.
     pub fn adopt(&self, configuration: Configuration) -> bool {
-        self.in_force.borrow_mut().adopt(configuration)
+        self.configuration.borrow_mut().adopt(configuration)
     }
 
-    /// Puts in force what changed since the revision in force; returns whether there was something new.
+    /// Applies changes since the revision in force; returns whether they were newer.
     pub fn adopt_changes(&self, changes: Configuration) -> bool {
-        self.in_force.borrow_mut().adopt_changes(changes)
+        self.configuration.borrow_mut().adopt_changes(changes)
     }
 
-    /// Renews the lease as of when the confirmation was asked for.
+    /// Renews the lease on the configuration, starting at `sent`, when the confirmation was requested.
     pub fn renew(&self, sent: Timestamp, lease: Duration, revision: u64) {
-        self.in_force.borrow_mut().renew(sent, lease, self.drift, revision);
+        self.configuration.borrow_mut().renew(sent, lease, self.clock_drift, revision);
     }
 
     async fn submit(&self, command: ControlCommand) -> Result<ControlReply, GroupError> {
@@ -64,13 +64,13 @@
     }
 
     fn configuration(&self) -> Arc<Configuration> {
-        self.in_force.borrow().configuration()
+        self.configuration.borrow().configuration()
     }
 
     fn taking_work(&self) -> Result<(), NotTaking> {
         if self.stopping.get() {
             return Err(NotTaking::Stopping);
         }
-        self.in_force.borrow().taking(self.clock.now())
+        self.configuration.borrow().taking(self.clock.now())
     }
 }
--- a/agatetrestle/src/node/error.rs
+++ b/agatetrestle/src/node/error.rs
@@ -1,4 +1,4 @@
-//! Why a node can't start.
+//! Errors of starting a node.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,24 +15,24 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum NodeError {
-    /// An address can't be listened on.
+    /// A listening socket can't be bound.
     #[snafu(display("can't listen on {address}: {source}"))]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A replica is assigned to this node, which has no data folder.
+    /// The settings assign a replica to this node but no data folder.
     #[snafu(display("group {} has a replica here, but storage.data_folder is not set", group.0))]
     NoDataFolder {
         /// The group.
         group: GroupId,
     },
-    /// The files of a group are not there.
+    /// The files of a group are missing.
     #[snafu(display(
         "group {} has no files under {}: start a new system with --bootstrap, or replace a VM that lost \
-         its disk as docs/operators/replace-vm.md tells",
+         its disk as docs/operators/replace-vm.md describes",
         group.0,
         folder.display()
     ))]
@@ -47,7 +47,7 @@
     Open {
         /// The data folder.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// Error of the storage.
         source: StorageError,
     },
     /// The snapshot of a group can't be used.
@@ -55,21 +55,21 @@
     Restore {
         /// The group.
         group: GroupId,
-        /// What is wrong with it.
+        /// Error of the state machine.
         source: RestoreError,
     },
     /// The history of a group can't be opened.
     #[snafu(display("the history in {} can't be opened: {source}", folder.display()))]
     OpenHistory {
-        /// Its folder.
+        /// The history folder.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// Error of the history.
         source: HistoryError,
     },
     /// The metrics can't be set up.
     #[snafu(display("the metrics can't be set up: {source}"))]
     Metrics {
-        /// What the library said.
+        /// Error of the metrics library.
         source: MetricsError,
     },
 }
--- a/agatetrestle/src/node/heartbeats.rs
+++ b/agatetrestle/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The loop that tells the control replicas of this node and learns what is in force.
+//! Sends heartbeats to the control replicas and applies the digests that they return.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -38,23 +38,23 @@
 use crate::ports::Members;
 use crate::scheduler::event::Event;
 
-/// This node's place among the members.
+/// Sends the heartbeats of this node and tracks the other members.
 pub struct HeartbeatSender {
-    /// What every heartbeat says; revision, stopping and signs are filled in when it is sent.
+    /// Template of the heartbeats; the fields that change are set when one is sent.
     pub identity: Heartbeat,
     /// Time between two heartbeats.
     pub interval: Duration,
-    /// The nodes with a control replica, by the settings.
+    /// Configured nodes with a control replica.
     pub replicas: Vec<NodeId>,
-    /// The ways to all nodes.
+    /// Links to all nodes.
     pub links: Rc<Links>,
-    /// The control replica here, if any.
+    /// The registry of this node if it is a control replica.
     pub registry: Option<Rc<MemberRegistry>>,
-    /// What is in force here.
+    /// Configuration in force on this node.
     pub control: Rc<ControlPort>,
-    /// Told of new configurations and leaving signs.
-    pub calls: Rc<Dispatcher>,
-    /// This node's picture of the others.
+    /// Notified of new configurations and of leaving VMs and backend servers.
+    pub dispatcher: Rc<Dispatcher>,
+    /// The members known to this node.
     pub roster: RefCell<Roster>,
     /// Whether a planned stop is under way.
     pub stopping: Rc<Cell<bool>>,
@@ -66,19 +66,19 @@
     /// Sends heartbeats until the task is dropped.
     pub async fn run(self: Rc<Self>) {
         loop {
-            self.beat_once().await;
+            self.send_all().await;
             Timer::after(self.interval).await;
         }
     }
 
-    /// Sends one heartbeat to every control replica and takes in their digests.
-    pub async fn beat_once(&self) {
+    /// Sends a heartbeat to every control replica and applies their digests.
+    pub async fn send_all(&self) {
         let links = self.replicas.iter().filter_map(|node| Some((*node, self.links.get(*node)?)));
-        let remote = links.map(|(node, link)| self.beat_remotely(node, link));
-        futures::future::join(join_all(remote), self.beat_locally()).await;
+        let remote = links.map(|(node, link)| self.send_remote(node, link));
+        futures::future::join(join_all(remote), self.send_local()).await;
     }
 
-    fn beat(&self, replica: NodeId) -> Heartbeat {
+    fn heartbeat(&self, replica: NodeId) -> Heartbeat {
         let roster = self.roster.borrow();
         Heartbeat {
             revision: self.control.configuration().revision,
@@ -89,68 +89,68 @@
         }
     }
 
-    async fn beat_locally(&self) {
+    async fn send_local(&self) {
         let Some(registry) = &self.registry else {
             return;
         };
         let sent = self.clock.now();
-        let digest = registry.heartbeat(self.beat(self.identity.node)).await;
+        let digest = registry.heartbeat(self.heartbeat(self.identity.node)).await;
         if digest.revision > self.control.configuration().revision {
             self.adopt(Configuration::clone(&registry.configuration()));
         }
-        self.take_in(self.identity.node, sent, &digest);
+        self.apply_digest(self.identity.node, sent, &digest);
     }
 
-    async fn beat_remotely(&self, replica: NodeId, link: Rc<PeerLink>) {
-        let beat = self.beat(replica);
+    async fn send_remote(&self, replica: NodeId, link: Rc<PeerLink>) {
+        let beat = self.heartbeat(replica);
         let sent = self.clock.now();
-        let digest = match exchange(&link, &beat).await {
+        let digest = match send(&link, &beat).await {
             Ok(digest) => digest,
             Err(failure) => {
-                debug!("A control replica did not answer a heartbeat: {failure}.");
+                debug!("A heartbeat to a control replica failed: {failure}.");
                 return;
             }
         };
         let known = self.control.configuration().revision;
         if digest.revision > known {
-            match fetch(&link, known).await {
-                // Another replica may have been faster, and then these are not changes to what is in force.
+            match fetch_changes(&link, known).await {
+                // If another replica was faster, these changes do not apply to the configuration in force.
                 Ok(changes) if self.control.configuration().revision == known => {
-                    self.adopted(self.control.adopt_changes(changes));
+                    self.on_adopted(self.control.adopt_changes(changes));
                 }
                 Ok(_) => {}
-                Err(failure) => debug!("The configuration could not be fetched: {failure}."),
+                Err(failure) => debug!("Failed to fetch the configuration: {failure}."),
             }
         }
-        self.take_in(replica, sent, &digest);
+        self.apply_digest(replica, sent, &digest);
     }
 
     fn adopt(&self, configuration: Configuration) {
-        // Leaving marks travel as signs in the digests, which also come from other sources.
+        // Digests also carry leaving marks from other sources, so those of the configuration are not used.
         let configuration = Configuration { leaving: BTreeMap::new(), ..configuration };
-        self.adopted(self.control.adopt(configuration));
+        self.on_adopted(self.control.adopt(configuration));
     }
 
-    fn adopted(&self, news: bool) {
+    fn on_adopted(&self, changed: bool) {
         let configuration = self.control.configuration();
-        if news {
+        if changed {
             info!("Configuration revision {} is in force.", configuration.revision);
-            self.calls.configure(&configuration);
+            self.dispatcher.configure(&configuration);
         }
     }
 
-    fn take_in(&self, from: NodeId, sent: Timestamp, digest: &Digest) {
+    fn apply_digest(&self, from: NodeId, sent: Timestamp, digest: &Digest) {
         if !digest.lease.is_zero() {
             self.control.renew(sent, digest.lease, digest.revision);
-            self.learn_addresses(digest);
+            self.add_addresses(digest);
         }
-        let news = self.roster.borrow_mut().take_in(from, digest);
-        for sign in news {
-            self.announce(&sign);
+        let new_signs = self.roster.borrow_mut().take_in(from, digest);
+        for sign in new_signs {
+            self.on_leaving(&sign);
         }
     }
 
-    fn learn_addresses(&self, digest: &Digest) {
+    fn add_addresses(&self, digest: &Digest) {
         for member in &digest.members {
             if let Ok(address) = member.beat.peer_address.parse() {
                 self.links.add_address(member.beat.node, address);
@@ -158,14 +158,14 @@
         }
     }
 
-    fn announce(&self, sign: &Sign) {
-        info!("{} is leaving as of incarnation {}.", sign.name, sign.incarnation);
-        self.calls.step(Event::Leaving { name: sign.name.clone(), leaving: true });
+    fn on_leaving(&self, sign: &Sign) {
+        info!("{} is leaving in incarnation {}.", sign.name, sign.incarnation);
+        self.dispatcher.step(Event::Leaving { name: sign.name.clone(), leaving: true });
     }
 
-    /// Takes in what changed in the platform's list. A VM that runs an entry node leaves in the incarnation
-    /// that the node has now; one of a backend server in the incarnation that the list names.
-    pub fn take_vm_changes(&self, changes: Vec<VmChange>) {
+    /// Applies changes of the platform's VM list. A VM with a node leaves in the current incarnation of that node, a VM of
+    /// a backend server in the incarnation from the list.
+    pub fn apply_vm_changes(&self, changes: Vec<VmChange>) {
         for change in changes {
             match change {
                 VmChange::Left(vm) => {
@@ -173,29 +173,29 @@
                     let incarnation = node.unwrap_or(vm.incarnation);
                     self.mark(&Sign { name: vm.name, incarnation });
                 }
-                VmChange::Live(vm) => self.unmark_if_newer(&vm),
+                VmChange::Live(vm) => self.unmark_if_restarted(&vm),
             }
         }
     }
 
-    fn unmark_if_newer(&self, vm: &Vm) {
-        let leaves = self.roster.borrow().leaving(&vm.name);
-        if leaves.is_some_and(|incarnation| vm.incarnation > incarnation) {
-            info!("{} is back as incarnation {}.", vm.name, vm.incarnation);
-            self.calls.step(Event::Leaving { name: vm.name.clone(), leaving: false });
+    fn unmark_if_restarted(&self, vm: &Vm) {
+        let leaving = self.roster.borrow().leaving(&vm.name);
+        if leaving.is_some_and(|incarnation| vm.incarnation > incarnation) {
+            info!("{} is live again in incarnation {}.", vm.name, vm.incarnation);
+            self.dispatcher.step(Event::Leaving { name: vm.name.clone(), leaving: false });
         }
     }
 
-    /// Adds a sign that this node saw itself; the next heartbeat spreads it.
+    /// Marks a VM or backend server as leaving, as observed by this node. The next heartbeat reports it.
     pub fn mark(&self, sign: &Sign) {
-        let news = self.roster.borrow_mut().mark(sign);
-        if news {
-            self.announce(sign);
+        let is_new = self.roster.borrow_mut().mark(sign);
+        if is_new {
+            self.on_leaving(sign);
         }
     }
 }
 
-async fn exchange(link: &PeerLink, beat: &Heartbeat) -> Result<Digest, LinkError> {
+async fn send(link: &PeerLink, beat: &Heartbeat) -> Result<Digest, LinkError> {
     link.call(|client: &peer::Client| {
         let mut request = client.heartbeat_request();
         write_heartbeat(request.get().init_beat(), beat);
@@ -209,7 +209,7 @@
     .await
 }
 
-async fn fetch(link: &PeerLink, known: u64) -> Result<Configuration, LinkError> {
+async fn fetch_changes(link: &PeerLink, known: u64) -> Result<Configuration, LinkError> {
     link.call(|client: &peer::Client| {
         let mut request = client.configuration_request();
         request.get().set_known(known);
--- a/agatetrestle/src/node/ledger_port.rs
+++ b/agatetrestle/src/node/ledger_port.rs
@@ -1,4 +1,4 @@
-//! The ledger as the other slices see it, through the state groups.
+//! Access to the ledger through its state group.
 
 use std::rc::Rc;
 
@@ -16,14 +16,13 @@
 use crate::programs::command::ProgramRequest;
 use crate::programs::command::QueryReply;
 
-/// Hands commands and queries to the state group. Today there is one; the group of a program will
-/// be looked up here once there are more.
+/// Forwards commands and queries to the state group.
 pub struct LedgerPort {
     router: Rc<Router>,
 }
 
 impl LedgerPort {
-    /// A ledger behind a way to its group.
+    /// Creates a port that uses the router to the state group.
     #[must_use]
     pub fn new(router: Rc<Router>) -> Self {
         Self { router }
--- a/agatetrestle/src/node/listeners.rs
+++ b/agatetrestle/src/node/listeners.rs
@@ -1,4 +1,4 @@
-//! The listening sockets of a node, bound before anything is told of their addresses.
+//! The listening sockets of a node, bound before their addresses are published.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 pub struct Listeners {
     /// HTTP for callers.
     pub callers: TcpListener,
-    /// RPC between our own processes.
+    /// RPC between nodes.
     pub peers: TcpListener,
     /// RPC for operators.
     pub operators: TcpListener,
@@ -23,11 +23,11 @@
 }
 
 impl Listeners {
-    /// Binds all sockets; port 0 lets the operating system choose.
+    /// Binds all sockets. Port 0 lets the operating system choose a port.
     ///
     /// # Errors
     ///
-    /// Fails if an address is taken or not this VM's.
+    /// Fails if an address is in use or does not belong to this VM.
     pub async fn bind(listen: &Listen) -> Result<Self, NodeError> {
         Ok(Self {
             callers: bind_one(listen.callers).await?,
@@ -37,11 +37,11 @@
         })
     }
 
-    /// The addresses as bound.
+    /// Returns the bound addresses.
     ///
     /// # Errors
     ///
-    /// Fails if the operating system does not tell them.
+    /// Fails if the operating system does not report them.
     pub fn addresses(&self) -> Result<Listen, NodeError> {
         let address = |listener: &TcpListener| {
             listener.local_addr().context(BindSnafu { address: SocketAddr::from(([0, 0, 0, 0], 0)) })
--- a/agatetrestle/src/node/listings.rs
+++ b/agatetrestle/src/node/listings.rs
@@ -1,4 +1,4 @@
-//! What operators see of this node's groups and backend servers.
+//! Listings of this node's groups and backend servers for operators.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,12 +24,12 @@
 use crate::scheduler::BackendState;
 use crate::scheduler::Scheduler;
 
-/// A group of which only the listing matters here.
+/// A group in listings, regardless of its state machine.
 pub trait ListedGroup {
-    /// The group as operators see it.
+    /// Returns a summary of the group.
     fn view(&self) -> GroupView;
 
-    /// Changes who takes part.
+    /// Changes the replica set.
     fn change(&self, change: ReplicaChange) -> LocalBoxFuture<'_, ProposalOutcome>;
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// The groups of which this node holds a replica.
+/// The groups that this node has replicas of.
 #[derive(Default)]
 pub struct GroupListing(pub Vec<Rc<dyn ListedGroup>>);
 
@@ -56,13 +56,13 @@
         Box::pin(async move {
             let group = self.0.iter().find(|group| group.view().group == id);
             let group = group.ok_or(ChangeError::NoReplica { group: id })?;
-            outcome(&group.change(change).await)
+            change_result(&group.change(change).await)
         })
     }
 }
 
-fn outcome(verdict: &ProposalOutcome) -> Result<(), ChangeError> {
-    match verdict {
+fn change_result(outcome: &ProposalOutcome) -> Result<(), ChangeError> {
+    match outcome {
         ProposalOutcome::Changed => Ok(()),
         ProposalOutcome::Rejected(Rejection::NotLeader(leader)) => {
             Err(ChangeError::NotLeader { leader: *leader })
@@ -75,11 +75,11 @@
     }
 }
 
-/// The declared backend servers with this node's load on them.
+/// The declared backend servers with the load from this node.
 pub struct BackendListing {
-    /// The decisions, for loads and states.
+    /// Provides loads and states.
     pub scheduler: Rc<RefCell<Box<dyn Scheduler>>>,
-    /// The declarations in force, for addresses.
+    /// Provides the declarations in force, for addresses.
     pub control: Rc<ControlPort>,
 }
 
@@ -88,12 +88,16 @@
         let documents = catalog::parse(&self.control.configuration());
         let (_, endpoints) = catalog::build(&documents);
         let scheduler = self.scheduler.borrow();
-        let view = |state: &BackendState| view(&**scheduler, &endpoints, state);
+        let view = |state: &BackendState| backend_view(&**scheduler, &endpoints, state);
         scheduler.loads().iter().filter_map(view).collect()
     }
 }
 
-fn view(scheduler: &dyn Scheduler, endpoints: &Endpoints, state: &BackendState) -> Option<BackendView> {
+fn backend_view(
+    scheduler: &dyn Scheduler,
+    endpoints: &Endpoints,
+    state: &BackendState,
+) -> Option<BackendView> {
     let backend = scheduler.backend(state.key)?;
     let address =
         endpoints.get(&backend.name).map(|endpoint| endpoint.address.to_string()).unwrap_or_default();
--- a/agatetrestle/src/node/mod.rs
+++ b/agatetrestle/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The struct that owns a node: its sockets, replicas and loops.
+//! A node with its sockets, replicas and background tasks.
 
 mod assembly;
 pub mod control_port;
@@ -67,10 +67,10 @@
 use crate::ports::Members;
 use crate::programs::ledger::LedgerState;
 
-/// How often a planned stop looks whether the last request is done.
-const STOP_POLL: Duration = Duration::from_millis(20);
-/// How long a planned stop waits for another replica to lead.
-const HAND_OVER_WITHIN: Duration = Duration::from_secs(2);
+/// Interval at which a planned stop polls for its conditions.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which a planned stop waits for another replica to become leader.
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running node.
 pub struct Node {
@@ -86,19 +86,19 @@
     tasks: RefCell<Vec<Task<()>>>,
 }
 
-/// The replicas that the node holds, with what other nodes may ask of them.
-struct Replicas {
+/// The replicas of a node, with their driver tasks.
+struct NodeReplicas {
     control: Option<Rc<Group<ControlState>>>,
     state: Option<Rc<Group<LedgerState>>>,
     tasks: Vec<Task<()>>,
 }
 
 impl Node {
-    /// Opens the replicas, then serves peers, operators and callers.
+    /// Opens the replicas and starts to serve peers, operators and callers.
     ///
     /// # Errors
     ///
-    /// Fails if the durable state can't be used or the settings contradict each other.
+    /// Fails if the persistent state can't be used or the settings are inconsistent.
     pub async fn start(
         settings: Settings,
         listeners: Listeners,
@@ -119,7 +119,7 @@
             links: &links,
             executor: &executor,
         };
-        let mut replicas = Replicas::open(&opener, &settings, missing).await?;
+        let mut replicas = NodeReplicas::open(&opener, &settings, missing).await?;
         links.set_handlers(replicas.handlers());
         let metrics = Rc::new(Metrics::new().context(MetricsSnafu)?);
         let assembly = Assembly::new(&settings, &addresses, clock, &links, &replicas, &metrics);
@@ -129,21 +129,21 @@
         let peers = assembly.peer_server(&replicas);
         let groups: Rc<dyn Groups> = Rc::new(replicas.listing());
         let operators = assembly.operator_server(&groups);
-        let calls = assembly.calls.clone();
+        let dispatcher = assembly.dispatcher.clone();
         tasks.push(executor.spawn(peer_server::serve(peers, listeners.peers, Rc::downgrade(&executor))));
         tasks.push(executor.spawn(operator::serve(operators, listeners.operators, executor.clone())));
         tasks.push(executor.spawn(metrics::serve(metrics, listeners.metrics, executor.clone())));
         tasks.push(executor.spawn(entry::serve(entry.clone(), listeners.callers, executor.clone())));
-        tasks.push(executor.spawn(async move { calls.run_background().await }));
+        tasks.push(executor.spawn(async move { dispatcher.run_background().await }));
         tasks.push(executor.spawn(assembly.heartbeats.clone().run()));
-        if let Some(orders) = assembly.orders(&replicas) {
-            tasks.push(executor.spawn(orders.run(settings.timing.heartbeat)));
+        if let Some(order_loop) = assembly.order_loop(&replicas) {
+            tasks.push(executor.spawn(order_loop.run(settings.timing.heartbeat)));
         }
         if let Some(address) = settings.platform.vm_list {
-            let reading = vm_list::run(assembly.heartbeats.clone(), address, settings.platform.interval);
-            tasks.push(executor.spawn(reading));
+            let vm_list_loop = vm_list::run(assembly.heartbeats.clone(), address, settings.platform.interval);
+            tasks.push(executor.spawn(vm_list_loop));
         }
-        info!("Node {} serves callers on {}.", settings.node.id, addresses.callers);
+        info!("Node {} is serving callers on {}.", settings.node.id, addresses.callers);
         Ok(Rc::new(Self {
             addresses,
             stopping: assembly.stopping,
@@ -158,48 +158,48 @@
         }))
     }
 
-    /// The addresses as bound.
+    /// Returns the bound addresses.
     #[must_use]
     pub fn addresses(&self) -> &Listen {
         &self.addresses
     }
 
-    /// What is in force here and whether new work is taken.
+    /// Returns the configuration in force, and whether the node accepts new work.
     #[must_use]
     pub fn control(&self) -> Rc<dyn Control> {
         self.heartbeats.control.clone()
     }
 
-    /// The groups of which this node holds a replica.
+    /// Returns the groups that this node has replicas of.
     #[must_use]
     pub fn groups(&self) -> Rc<dyn Groups> {
         self.groups.clone()
     }
 
-    /// The ledger, as any slice of this node reaches it.
+    /// Returns the ledger, which may be on other nodes.
     #[must_use]
     pub fn ledger(&self) -> Rc<dyn ports::Ledger> {
         self.ledger.clone()
     }
 
-    /// The members as this node sees them.
+    /// Returns the members known to this node.
     #[must_use]
     pub fn members(&self) -> Rc<dyn Members> {
         self.heartbeats.clone()
     }
 
-    /// Whether this node leads its state group.
+    /// Whether this node is the leader of the state group.
     #[must_use]
     pub fn leads_state_group(&self) -> bool {
         self.state.as_ref().is_some_and(|group| group.leads())
     }
 
-    /// A planned stop: leaves the address answers, takes no new work, finishes what is in flight and
-    /// hands over leadership. Returns whether everything in flight was finished.
+    /// Performs a planned stop: leaves the address lists, accepts no new work, finishes requests in flight and transfers
+    /// leadership. Returns whether all requests were finished.
     pub async fn stop(&self) -> bool {
         info!("Node {} is stopping.", self.settings.node.id);
         self.stopping.set(true);
-        self.heartbeats.beat_once().await;
+        self.heartbeats.send_all().await;
         let finished = self.drain().await;
         self.transfer_leadership().await;
         self.kill().await;
@@ -207,14 +207,14 @@
     }
 
     async fn drain(&self) -> bool {
-        let deadline = self.settings.timing.stop_grace;
+        let grace_period = self.settings.timing.stop_grace;
         let started = self.entry.clock.now();
         while self.entry.in_flight() > 0 {
-            if self.entry.clock.now().since(started) >= deadline {
+            if self.entry.clock.now().since(started) >= grace_period {
                 warn!("{} requests were cut off after the grace period.", self.entry.in_flight());
                 return false;
             }
-            Timer::after(STOP_POLL).await;
+            Timer::after(STOP_POLL_INTERVAL).await;
         }
         true
     }
@@ -227,17 +227,17 @@
         if let Some(group) = &self.state {
             group.transfer_leadership();
         }
-        while self.leads_anything() && self.entry.clock.now().since(started) < HAND_OVER_WITHIN {
-            Timer::after(STOP_POLL).await;
+        while self.leads_any_group() && self.entry.clock.now().since(started) < LEADERSHIP_TRANSFER_TIMEOUT {
+            Timer::after(STOP_POLL_INTERVAL).await;
         }
     }
 
-    fn leads_anything(&self) -> bool {
+    fn leads_any_group(&self) -> bool {
         let control = self.control.as_ref().is_some_and(|group| group.leads());
         control || self.leads_state_group()
     }
 
-    /// Drops every loop and listening socket without a word to anyone, as a crash would.
+    /// Cancels all tasks and closes all sockets without notice, as a crash would.
     pub async fn kill(&self) {
         let tasks = std::mem::take(&mut *self.tasks.borrow_mut());
         for task in tasks {
@@ -246,8 +246,8 @@
     }
 }
 
-impl Replicas {
-    /// Opens the replicas that the settings give this node.
+impl NodeReplicas {
+    /// Opens the replicas that the settings assign to this node.
     async fn open(
         opener: &ReplicaOpener<'_>,
         settings: &Settings,
@@ -256,16 +256,16 @@
         let mut replicas = Self { control: None, state: None, tasks: Vec::new() };
         let holders = replicas::holders(settings, CONTROL_GROUP);
         if holders.contains(&opener.node) {
-            let held = opener.open(CONTROL_GROUP, ControlState::default(), &holders, missing).await?;
-            replicas.control = Some(held.group);
-            replicas.tasks.push(held.driver);
+            let local = opener.open(CONTROL_GROUP, ControlState::default(), &holders, missing).await?;
+            replicas.control = Some(local.group);
+            replicas.tasks.push(local.driver);
         }
         let holders = replicas::holders(settings, FIRST_STATE_GROUP);
         if holders.contains(&opener.node) {
             let ledger = open_ledger(settings)?;
-            let held = opener.open(FIRST_STATE_GROUP, ledger, &holders, missing).await?;
-            replicas.state = Some(held.group);
-            replicas.tasks.push(held.driver);
+            let local = opener.open(FIRST_STATE_GROUP, ledger, &holders, missing).await?;
+            replicas.state = Some(local.group);
+            replicas.tasks.push(local.driver);
         }
         Ok(replicas)
     }
@@ -303,7 +303,7 @@
     }
 }
 
-/// A ledger over its history; one in memory where the node holds no replica, since it is never used.
+/// Opens the ledger with its history, or an empty ledger in memory if there is no data folder.
 fn open_ledger(settings: &Settings) -> Result<LedgerState, NodeError> {
     let Some(folder) = &settings.storage.data_folder else {
         return Ok(LedgerState::default());
--- a/agatetrestle/src/node/order_loop.rs
+++ b/agatetrestle/src/node/order_loop.rs
@@ -1,4 +1,4 @@
-//! The loop by which the control leader gives orders to engines.
+//! The loop of the control leader that polls engines and sends orders to them.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -31,34 +31,37 @@
 use crate::orders::reconciler::Reconciler;
 use crate::ports::Control;
 
-/// Engines that are asked in one turn what they serve; all are asked in the end.
-const ASKED_AT_ONCE: usize = 32;
-/// Length of a mandate, renewed well within it.
-const MANDATE: Duration = Duration::from_millis(100);
+/// Engines polled for their served model in one tick; further ones follow in the next ticks.
+const MAX_CONCURRENT_POLLS: usize = 32;
+/// Lease to send orders; renewed before each order.
+const LEASE_DURATION: Duration = Duration::from_millis(100);
 
-/// Gives orders while this node leads the control group.
+/// Sends orders to engines while this node leads the control group.
 pub struct OrderLoop {
     node: NodeId,
     clock: Clock,
     group: Rc<Group<ControlState>>,
     control: Rc<ControlPort>,
     engines: Rc<dyn EngineAdmin>,
-    desk: RefCell<Reconciler>,
+    reconciler: RefCell<Reconciler>,
     addresses: RefCell<BTreeMap<Arc<str>, SocketAddr>>,
+    /// Configuration revision of the current specs.
     revision: Cell<Option<u64>>,
-    fence: Cell<Option<(u64, u64)>>,
-    asked: Cell<usize>,
+    /// Term and the fencing token obtained in it.
+    fencing_token: Cell<Option<(u64, u64)>>,
+    /// Index of the engine to poll next.
+    next_poll: Cell<usize>,
 }
 
 impl OrderLoop {
-    /// OrderLoop without a mandate; `wait_out` is an old leader's longest lease plus the clock drift.
+    /// Creates a loop without a lease. `takeover_delay` is the longest lease of an earlier leader plus the clock drift.
     pub fn new(
         node: NodeId,
         clock: Clock,
         group: Rc<Group<ControlState>>,
         control: Rc<ControlPort>,
         engines: Rc<dyn EngineAdmin>,
-        wait_out: Duration,
+        takeover_delay: Duration,
     ) -> Self {
         Self {
             node,
@@ -66,38 +69,38 @@
             group,
             control,
             engines,
-            desk: RefCell::new(Reconciler::new(clock.now(), 0, wait_out)),
+            reconciler: RefCell::new(Reconciler::new(clock.now(), 0, takeover_delay)),
             addresses: RefCell::default(),
             revision: Cell::new(None),
-            fence: Cell::new(None),
-            asked: Cell::new(0),
+            fencing_token: Cell::new(None),
+            next_poll: Cell::new(0),
         }
     }
 
-    /// Looks for due orders until the task is dropped.
+    /// Sends due orders at each interval until the task is dropped.
     pub async fn run(self, interval: Duration) {
         loop {
             Timer::after(interval).await;
-            self.turn().await;
+            self.tick().await;
         }
     }
 
-    async fn turn(&self) {
+    async fn tick(&self) {
         if !self.group.leads() {
-            self.desk.borrow_mut().set_lease(None);
+            self.reconciler.borrow_mut().set_lease(None);
             return;
         }
-        self.take_declarations();
-        if self.addresses.borrow().is_empty() || !self.obtain_fence().await {
+        self.update_specs();
+        if self.addresses.borrow().is_empty() || !self.obtain_token().await {
             return;
         }
-        self.ask_some().await;
-        while let Some(order) = self.next() {
-            self.send(&order).await;
+        self.poll_engines().await;
+        while let Some(order) = self.next_order() {
+            self.send_order(&order).await;
         }
     }
 
-    fn take_declarations(&self) {
+    fn update_specs(&self) {
         let configuration = self.control.configuration();
         if self.revision.replace(Some(configuration.revision)) == Some(configuration.revision) {
             return;
@@ -105,105 +108,105 @@
         let documents = catalog::parse(&configuration);
         let rate = documents.iter().find_map(|(_, document)| document.weight_store.as_ref());
         let rate = rate.map_or(0, |store| store.rate);
-        let (wanted, addresses) = wanted(&documents);
-        self.desk.borrow_mut().set_specs(wanted, rate);
+        let (specs, addresses) = engine_specs(&documents);
+        self.reconciler.borrow_mut().set_specs(specs, rate);
         self.addresses.replace(addresses);
     }
 
-    /// Obtains a fencing number once for each term that this node leads in.
-    async fn obtain_fence(&self) -> bool {
+    /// Obtains a fencing token, once for each term in which this node leads; returns whether there is one.
+    async fn obtain_token(&self) -> bool {
         let term = self.group.term();
-        if self.fence.get().is_some_and(|(known, _)| known == term) {
+        if self.fencing_token.get().is_some_and(|(known, _)| known == term) {
             return true;
         }
         match self.control.commit(ControlCommand::Fence { node: self.node, term }).await {
-            Ok(ControlReply::Fenced(number)) => {
-                info!("This node gives orders to engines under fencing number {number}.");
-                self.fence.set(Some((term, number)));
+            Ok(ControlReply::Fenced(token)) => {
+                info!("This node sends orders to engines with fencing token {token}.");
+                self.fencing_token.set(Some((term, token)));
                 true
             }
             Ok(reply) => {
-                debug!("No fencing number was given for term {term}: {reply:?}.");
+                debug!("Got no fencing token for term {term}: {reply:?}.");
                 false
             }
             Err(failure) => {
-                debug!("No fencing number was given for term {term}: {failure}.");
+                debug!("Failed to get a fencing token for term {term}: {failure}.");
                 false
             }
         }
     }
 
-    /// Renews the mandate, or gives it up where this node no longer leads in the term of its number.
-    fn renew(&self) {
+    /// Renews the lease, or revokes it if this node no longer leads in the term of its fencing token.
+    fn renew_lease(&self) {
         let now = self.clock.now();
-        let fence = self.fence.get().filter(|(term, _)| *term == self.group.term());
-        let leads = self.group.leads_until(now + MANDATE);
-        let mandate = fence.filter(|_| leads).map(|(_, number)| LeaderLease {
-            fencing_token: number,
+        let token = self.fencing_token.get().filter(|(term, _)| *term == self.group.term());
+        let leads = self.group.leads_until(now + LEASE_DURATION);
+        let lease = token.filter(|_| leads).map(|(_, token)| LeaderLease {
+            fencing_token: token,
             acquired_at: now,
-            expires_at: now + MANDATE,
+            expires_at: now + LEASE_DURATION,
         });
-        self.desk.borrow_mut().set_lease(mandate);
+        self.reconciler.borrow_mut().set_lease(lease);
     }
 
-    fn next(&self) -> Option<Order> {
-        self.renew();
-        self.desk.borrow_mut().next_order(self.clock.now())
+    fn next_order(&self) -> Option<Order> {
+        self.renew_lease();
+        self.reconciler.borrow_mut().next_order(self.clock.now())
     }
 
-    async fn send(&self, order: &Order) {
+    async fn send_order(&self, order: &Order) {
         let address = self.addresses.borrow().get(&order.engine).copied();
-        self.renew();
-        // The process may have been paused since the order was decided.
-        let may_send = self.desk.borrow().may_send(self.clock.now(), order);
+        self.renew_lease();
+        // The process may have been paused since the order was issued.
+        let may_send = self.reconciler.borrow().may_send(self.clock.now(), order);
         let Some(address) = address.filter(|_| may_send) else {
-            self.desk.borrow_mut().mark_failed(order);
+            self.reconciler.borrow_mut().mark_failed(order);
             return;
         };
         info!(
-            "{} is ordered to load {} under fencing number {}.",
+            "Ordering engine {} to load {} with fencing token {}.",
             order.engine, order.model, order.fencing_token
         );
         if let Err(failure) = self.engines.load(address, order.model.clone(), order.fencing_token).await {
-            warn!("{} did not take the order: {failure}.", order.engine);
-            self.desk.borrow_mut().mark_failed(order);
+            warn!("Engine {} did not accept the order: {failure}.", order.engine);
+            self.reconciler.borrow_mut().mark_failed(order);
         }
     }
 
-    async fn ask_some(&self) {
+    async fn poll_engines(&self) {
         let all: Vec<(Arc<str>, SocketAddr)> =
             self.addresses.borrow().iter().map(|(name, address)| (name.clone(), *address)).collect();
-        let first = self.asked.get() % all.len();
-        let some = all.iter().cycle().skip(first).take(ASKED_AT_ONCE.min(all.len()));
-        self.asked.set(first + ASKED_AT_ONCE);
-        join_all(some.map(|(name, address)| self.ask(name, *address))).await;
+        let first = self.next_poll.get() % all.len();
+        let polled = all.iter().cycle().skip(first).take(MAX_CONCURRENT_POLLS.min(all.len()));
+        self.next_poll.set(first + MAX_CONCURRENT_POLLS);
+        join_all(polled.map(|(name, address)| self.poll_engine(name, *address))).await;
     }
 
-    async fn ask(&self, name: &Arc<str>, address: SocketAddr) {
+    async fn poll_engine(&self, name: &Arc<str>, address: SocketAddr) {
         match self.engines.served_model(address).await {
-            Ok(model) => self.desk.borrow_mut().observe(name, model),
-            Err(failure) => debug!("{name} does not say what it serves: {failure}."),
+            Ok(model) => self.reconciler.borrow_mut().observe(name, model),
+            Err(failure) => debug!("Failed to get the served model of {name}: {failure}."),
         }
     }
 }
 
-fn wanted(
+fn engine_specs(
     documents: &[(Arc<str>, Declarations)],
 ) -> (BTreeMap<Arc<str>, EngineSpec>, BTreeMap<Arc<str>, SocketAddr>) {
     let models: BTreeMap<&Arc<str>, u64> =
         documents.iter().flat_map(|(_, d)| &d.models).map(|(name, model)| (name, model.weights)).collect();
     let servers = documents.iter().flat_map(|(_, d)| &d.backend_servers);
     let engines = servers.filter(|(_, server)| server.kind == BackendKind::Engine);
-    let mut wanted = BTreeMap::new();
+    let mut specs = BTreeMap::new();
     let mut addresses = BTreeMap::new();
     for (name, server) in engines {
         let weights = models.get(&server.serves).copied().unwrap_or(0);
         let model = server.serves.clone();
-        wanted.insert(
+        specs.insert(
             name.clone(),
             EngineSpec { model, weights_bytes: weights, checks_fencing: server.checks_fencing },
         );
         addresses.insert(name.clone(), server.address);
     }
-    (wanted, addresses)
+    (specs, addresses)
 }
--- a/agatetrestle/src/node/registry.rs
+++ b/agatetrestle/src/node/registry.rs
@@ -1,4 +1,4 @@
-//! What a control replica answers to heartbeats: the member table beside the control group.
+//! Answers heartbeats on a control replica, from its member table and the control group.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use crate::node::group::ProposalOutcome;
 use crate::node::links::Links;
 
-/// The control replica's side of heartbeats.
+/// Records heartbeats on a control replica and answers them with digests.
 pub struct MemberRegistry {
     group: Rc<Group<ControlState>>,
     table: RefCell<Table>,
@@ -26,8 +26,8 @@
 }
 
 impl MemberRegistry {
-    /// A registry for heartbeats of an interval; it grants leases of the given length. `epoch` is the node's
-    /// incarnation.
+    /// Creates a registry for heartbeats at `interval`, which grants leases of length `lease`. `epoch` is the incarnation of
+    /// this node.
     #[must_use]
     pub fn new(
         group: Rc<Group<ControlState>>,
@@ -40,12 +40,12 @@
         Self { group, table: RefCell::new(Table::new(epoch, interval)), links, clock, lease }
     }
 
-    /// Takes in a heartbeat. Only a leader that proved itself after the heartbeat came grants a lease.
+    /// Records a heartbeat. Only a leader whose leadership is confirmed after the heartbeat arrived grants a lease.
     pub async fn heartbeat(&self, beat: Heartbeat) -> Digest {
         let (node, address, told) = (beat.node, beat.peer_address.parse(), beat.told);
         let newest = self.table.borrow_mut().record(self.clock.now(), beat);
         if let (true, Ok(address)) = (newest, address) {
-            // Learnt first hand, because without a leader no digest tells where a replaced VM now is.
+            // Without a leader no digest carries the new address of a replaced VM.
             self.links.add_address(node, address);
         }
         let confirmed = self.group.leads() && self.group.read_barrier().await == ProposalOutcome::Ready;
@@ -61,7 +61,7 @@
         Digest { revision: configuration.revision, lease: self.lease, ..digest }
     }
 
-    /// The configuration on this replica, which may lag.
+    /// Returns the configuration on this replica, which may be stale.
     #[must_use]
     pub fn configuration(&self) -> Arc<Configuration> {
         self.group.machine(ControlState::configuration)
--- a/agatetrestle/src/node/replicas.rs
+++ b/agatetrestle/src/node/replicas.rs
@@ -1,4 +1,4 @@
-//! Opening of the replicas that a node holds.
+//! Opens the replicas that a node holds.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -47,49 +47,47 @@
 use crate::node::peer_link::LinkError;
 use crate::node::peer_link::PeerLink;
 
-/// Commands that may be under way in one group at once; more are refused as busy.
+/// Limit of uncommitted commands in one group; further ones are refused as busy.
 const MAX_IN_FLIGHT: usize = 4_096;
-/// Time that a command may wait to be committed before further ones are refused. A commit takes some 10 ms. At a leader that is
-/// out of processor time heartbeats wait as long as commands do, so this stays well under half of an election timeout, or
-/// load alone would end its term; `agreement/tests/overload.rs` has such a load.
-const MAX_WAIT: Duration = Duration::from_millis(100);
-/// Largest batch of entries in one message.
+/// Time that a command may wait to be committed before further ones are refused. On an overloaded leader heartbeats wait as
+/// long as commands do, so this must stay well below half of an election timeout; see `agreement/tests/overload.rs`.
+const MAX_COMMIT_WAIT: Duration = Duration::from_millis(100);
 const MAX_BATCH_BYTES: usize = 1 << 20;
-/// Ticks within a leader interval: fine enough that a heartbeat is never late by much.
+/// Timer ticks in each leader interval, which limit how late a heartbeat can be.
 const TICKS_PER_INTERVAL: u32 = 4;
 
-/// What to do where a group's files are missing.
+/// What to do when the files of a replica are missing.
 ///
-/// A replica that lost its files may have voted and acknowledged before, so it must not quietly
-/// start afresh: that could elect a leader without what was committed.
+/// A replica that lost its files may have voted and acknowledged entries, so it must not start empty: the group could then
+/// elect a leader that lacks committed entries.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum MissingFiles {
-    /// Refuse to start.
+    /// Fail to start.
     #[default]
     Refuse,
-    /// The whole system is new: form the group from the holders in the settings.
+    /// Form a new group from the configured replica nodes.
     Bootstrap,
-    /// Join an existing group, and count for nothing until its leader added this node as a learner.
+    /// Join an existing group; the replica takes no part until the leader adds it as a learner.
     Join,
 }
 
-/// What every replica of a node is opened with.
+/// Opens replicas, with the parameters shared by all replicas of a node.
 pub struct ReplicaOpener<'a> {
-    /// This node.
+    /// Id of this node.
     pub node: NodeId,
-    /// Its folder for durable state, if it has one, and how files are laid out there.
+    /// Data folder, if any, and sizes of its files.
     pub storage: &'a StorageSettings,
-    /// Time bounds of the groups.
+    /// Timeouts of the groups.
     pub timing: &'a Timing,
     /// The process's clock.
     pub clock: Clock,
-    /// The ways to the other nodes.
+    /// Links to the other nodes.
     pub links: &'a Rc<Links>,
-    /// Where the replica runs.
+    /// Executor of the replica's tasks.
     pub executor: &'a LocalExecutor<'static>,
 }
 
-/// What the files of a group hold.
+/// The storage of a replica and its persistent state.
 pub struct StoredReplica {
     group: GroupId,
     folder: PathBuf,
@@ -98,28 +96,28 @@
 }
 
 impl StoredReplica {
-    /// The group.
+    /// Id of the group.
     #[must_use]
     pub fn group(&self) -> GroupId {
         self.group
     }
 
-    /// Whether there are no files, so that the replica can be opened only as a new one.
+    /// Whether there is no persistent state, so that [`MissingFiles`] applies.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         is_empty(&self.restored)
     }
 }
 
-/// An open replica and the task that drives it.
+/// An open replica and its driver task.
 pub struct OpenReplica<M: StateMachine> {
     /// The replica.
     pub group: Rc<Group<M>>,
-    /// Its driver; dropping it stops the replica.
+    /// The driver task; dropping it stops the replica.
     pub driver: Task<()>,
 }
 
-/// The nodes that hold a replica of a group, by the settings.
+/// Returns the nodes that hold a replica of `group` according to the settings.
 #[must_use]
 pub fn holders(settings: &Settings, group: GroupId) -> Vec<NodeId> {
     let holds = |peer: &&agatetrestle_config::settings::PeerSeed| {
@@ -129,7 +127,7 @@
 }
 
 impl ReplicaOpener<'_> {
-    /// Opens the replica of a group; `holders` are the nodes that hold one as far as is known.
+    /// Opens the replica of a group; `holders` are the nodes known to hold a replica.
     ///
     /// # Errors
     ///
@@ -144,11 +142,11 @@
     where
         M: StateMachine + 'static,
     {
-        let found = self.load(id).await?;
-        self.open_stored(found, machine, holders, missing).await
+        let stored = self.load(id).await?;
+        self.open_stored(stored, machine, holders, missing).await
     }
 
-    /// Reads the files of a group, so that one can decide by them what to do where there are none.
+    /// Loads the persistent state of a replica, which may be empty.
     ///
     /// # Errors
     ///
@@ -159,14 +157,14 @@
         Ok(StoredReplica { group, folder, storage, restored })
     }
 
-    /// As [`ReplicaOpener::open`], from files that were read already.
+    /// Opens a replica as [`ReplicaOpener::open`] does, from storage that is loaded already.
     ///
     /// # Errors
     ///
-    /// As there.
+    /// Fails as [`ReplicaOpener::open`] does.
     pub async fn open_stored<M>(
         &self,
-        mut found: StoredReplica,
+        mut stored: StoredReplica,
         machine: M,
         holders: &[NodeId],
         missing: MissingFiles,
@@ -174,27 +172,27 @@
     where
         M: StateMachine + 'static,
     {
-        let joining = found.is_empty() && missing == MissingFiles::Join;
-        if found.is_empty() && !joining {
-            let StoredReplica { group, folder, .. } = &found;
+        let joining = stored.is_empty() && missing == MissingFiles::Join;
+        if stored.is_empty() && !joining {
+            let StoredReplica { group, folder, .. } = &stored;
             ensure!(missing == MissingFiles::Bootstrap, MissingSnafu { group: *group, folder });
-            let founding = founding_snapshot(&machine, holders.to_vec());
-            found.storage = save(found.storage, founding.clone(), &found.folder).await?;
-            found.restored.snapshot = Some(founding);
+            let snapshot = initial_snapshot(&machine, holders.to_vec());
+            stored.storage = save_snapshot(stored.storage, snapshot.clone(), &stored.folder).await?;
+            stored.restored.snapshot = Some(snapshot);
         }
-        self.assemble(found, machine, holders)
+        self.assemble(stored, machine, holders)
     }
 
     fn assemble<M>(
         &self,
-        found: StoredReplica,
+        stored: StoredReplica,
         mut machine: M,
         holders: &[NodeId],
     ) -> Result<OpenReplica<M>, NodeError>
     where
         M: StateMachine + 'static,
     {
-        let StoredReplica { group: id, folder, storage, restored } = found;
+        let StoredReplica { group: id, folder, storage, restored } = stored;
         let mut replicas = Replicas::default();
         let mut applied = Position::default();
         let mut initial_state = Vec::new();
@@ -203,9 +201,9 @@
             applied = snapshot.position;
             replicas = snapshot.replicas.clone();
         } else {
-            // The log holds everything from its first entry on, which will append to the history again.
-            let emptied = machine.history().map_or(Ok(()), |history| history.truncate(0));
-            emptied.context(OpenHistorySnafu { folder: &folder })?;
+            // The log is complete from its first entry, and applying it appends to the history again.
+            let truncated = machine.history().map_or(Ok(()), |history| history.truncate(0));
+            truncated.context(OpenHistorySnafu { folder: &folder })?;
             initial_state = machine.snapshot();
         }
         let make_replica = make_replica(self.replica_config(id));
@@ -240,24 +238,24 @@
             clock_drift: timing.clock_drift,
             seed: node.0 ^ (u64::from(group.0) << 32),
             max_in_flight: MAX_IN_FLIGHT,
-            max_wait: MAX_WAIT,
+            max_wait: MAX_COMMIT_WAIT,
             max_batch_bytes: MAX_BATCH_BYTES,
         }
     }
 
-    /// Asks the other holders of a group in turn.
+    /// Returns a source that asks the other holders of a group in turn.
     fn history_source(&self, group: GroupId, holders: &[NodeId]) -> HistorySource {
         let own = self.node;
         let others: Vec<NodeId> = holders.iter().copied().filter(|holder| *holder != own).collect();
         let links = self.links.clone();
         Rc::new(move |offset| {
-            let ways: Vec<Rc<PeerLink>> = others.iter().filter_map(|node| links.get(*node)).collect();
+            let peers: Vec<Rc<PeerLink>> = others.iter().filter_map(|node| links.get(*node)).collect();
             Box::pin(async move {
-                for link in ways {
+                for link in peers {
                     match fetch_history(&link, group, offset).await {
                         Ok(bytes) if !bytes.is_empty() => return Some(bytes),
                         Ok(_) => {}
-                        Err(failure) => debug!("History could not be fetched: {failure}."),
+                        Err(failure) => debug!("Failed to fetch history: {failure}."),
                     }
                 }
                 None
@@ -275,7 +273,7 @@
     }
 }
 
-/// A replica whose storage is empty can only be one that waits to join: founding leaves a snapshot.
+/// A replica with empty storage waits to join, since bootstrapping a group saves a snapshot.
 fn make_replica(cfg: ReplicaConfig) -> MakeReplica {
     Rc::new(move |restored, now| {
         if is_empty(&restored) {
@@ -298,13 +296,17 @@
     no_log && restored.hard_state == HardState::default()
 }
 
-/// The snapshot before the first entry. It fixes the founding voters, whatever the settings say later.
-fn founding_snapshot<M: StateMachine>(machine: &M, holders: Vec<NodeId>) -> Snapshot {
+/// Returns the snapshot before the first log entry. It fixes the initial voters, whatever the settings say later.
+fn initial_snapshot<M: StateMachine>(machine: &M, holders: Vec<NodeId>) -> Snapshot {
     let replicas = Replicas { voters: holders.into_iter().collect(), ..Replicas::default() };
     Snapshot { position: Position::default(), replicas, data: machine.snapshot().into() }
 }
 
-async fn save(mut storage: Storage, snapshot: Snapshot, folder: &Path) -> Result<Storage, NodeError> {
+async fn save_snapshot(
+    mut storage: Storage,
+    snapshot: Snapshot,
+    folder: &Path,
+) -> Result<Storage, NodeError> {
     let saved = smol::unblock(move || storage.save_snapshot(&snapshot).map(|()| storage)).await;
     saved.context(OpenSnafu { folder })
 }
--- a/agatetrestle/src/node/service.rs
+++ b/agatetrestle/src/node/service.rs
@@ -1,4 +1,4 @@
-//! What a replica of a group offers to other nodes: the typed side of `submit`.
+//! Services of a group's replica for other nodes, and the results of submitted requests.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,38 +18,38 @@
 use crate::programs::command::ProgramRequest;
 use crate::programs::ledger::LedgerState;
 
-/// What became of a request to a group.
+/// Result of a request submitted to a group.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Submission {
-    /// The coded reply.
+    /// The request was executed; holds the encoded reply.
     Applied(Vec<u8>),
-    /// Nothing entered the log; the leader if known.
+    /// The replica does not lead, and nothing entered its log; holds the leader if known.
     NotLeader(Option<NodeId>),
-    /// Nothing entered the log, for another reason.
+    /// Nothing entered the log, for the given reason.
     Refused(Arc<str>),
-    /// The replica could not be reached, so it has seen nothing.
+    /// The replica could not be reached, so it has not received the request.
     Unreachable(Arc<str>),
-    /// The command may yet be applied.
+    /// The command may still be applied.
     Unknown(Arc<str>),
 }
 
-/// A replica that takes coded requests.
+/// A replica that executes encoded requests.
 pub trait GroupService {
-    /// Commits or answers one coded request.
+    /// Commits an encoded command or answers an encoded query.
     fn submit(&self, request: Vec<u8>) -> LocalBoxFuture<'_, Submission>;
 
-    /// Raw history from an offset on, for a replica that lacks it; empty where there is none.
+    /// Reads raw history from an offset, for a replica that lacks it; empty if there is none.
     fn history(&self, offset: u64) -> Vec<u8>;
 }
 
-/// Takes what other processes report of themselves.
+/// Handles reports of other processes about themselves.
 pub trait ReportService {
-    /// Answers a coded report by a coded update, which may take as long as the report says.
+    /// Answers an encoded report with an encoded update. May wait for news as long as the report allows.
     fn take(&self, report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>>;
 }
 
-pub(crate) fn to_submission(verdict: ProposalOutcome) -> Submission {
-    match verdict {
+pub(crate) fn to_submission(outcome: ProposalOutcome) -> Submission {
+    match outcome {
         ProposalOutcome::Applied(reply) => Submission::Applied(reply),
         ProposalOutcome::Rejected(Rejection::NotLeader(leader)) => Submission::NotLeader(leader),
         ProposalOutcome::Rejected(Rejection::Busy) => {
@@ -75,7 +75,7 @@
     to_submission(group.submit(payload.into()).await)
 }
 
-/// Reads the state machine as of now, which only the leader can.
+/// Performs a linearizable read of the state machine, which only the leader can.
 pub(crate) async fn read<M, T>(group: &Group<M>, f: impl FnOnce(&M) -> T) -> Submission
 where
     M: StateMachine + 'static,
@@ -83,11 +83,11 @@
 {
     match group.read_barrier().await {
         ProposalOutcome::Ready => Submission::Applied(encode(&group.machine(f))),
-        verdict => to_submission(verdict),
+        outcome => to_submission(outcome),
     }
 }
 
-/// A state group's replica.
+/// Service of a state group's replica.
 pub struct LedgerService(pub Rc<Group<LedgerState>>);
 
 impl LedgerService {
@@ -110,7 +110,7 @@
     }
 }
 
-/// A control replica.
+/// Service of a control replica.
 pub struct ControlGroupService(pub Rc<Group<ControlState>>);
 
 impl GroupService for ControlGroupService {
--- a/agatetrestle/src/node/vm_list.rs
+++ b/agatetrestle/src/node/vm_list.rs
@@ -1,4 +1,4 @@
-//! The loop that reads the platform's VM list.
+//! Polls the platform's VM list.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,50 +21,49 @@
 use crate::node::heartbeats::HeartbeatSender;
 use crate::node::peer_link::with_deadline;
 
-/// Largest list that is read: 100 bytes for each of 40,000 VMs.
-const MAX_BYTES: u64 = 4 << 20;
+/// Limit of the size of a list, about 100 bytes for each of 40,000 VMs.
+const MAX_LIST_BYTES: u64 = 4 << 20;
 
-/// Why a list could not be had.
 #[derive(Debug, Snafu)]
 enum FetchError {
-    #[snafu(display("no connection: {source}"))]
+    #[snafu(display("can't connect: {source}"))]
     Connect { source: std::io::Error },
-    #[snafu(display("no answer: {detail}"))]
+    #[snafu(display("the request failed: {detail}"))]
     Exchange { detail: Arc<str> },
-    #[snafu(display("the answer broke off: {source}"))]
+    #[snafu(display("the response is incomplete: {source}"))]
     Body { source: std::io::Error },
-    #[snafu(display("no answer in time"))]
+    #[snafu(display("the request timed out"))]
     Timeout,
     #[snafu(context(false), display("{source}"))]
     Parse { source: VmListError },
 }
 
-/// Reads the list again and again until the task is dropped.
+/// Reads the list at each interval until the task is dropped.
 pub async fn run(heartbeats: Rc<HeartbeatSender>, address: SocketAddr, interval: Duration) {
     let mut reader = VmListReader::default();
     loop {
         match with_deadline(interval, fetch(address)).await.unwrap_or(TimeoutSnafu.fail()) {
             Ok(bytes) => match parse(&bytes).map_err(FetchError::from) {
-                Ok(list) => heartbeats.take_vm_changes(reader.take_in(list)),
-                Err(failure) => debug!("The VM list is passed over: {failure}."),
+                Ok(list) => heartbeats.apply_vm_changes(reader.take_in(list)),
+                Err(failure) => debug!("Ignored the VM list: {failure}."),
             },
-            Err(failure) => debug!("The VM list is passed over: {failure}."),
+            Err(failure) => debug!("Ignored the VM list: {failure}."),
         }
         Timer::after(interval).await;
     }
 }
 
 async fn fetch(address: SocketAddr) -> Result<Vec<u8>, FetchError> {
-    let url = Url::parse(&format!("http://{address}/")).map_err(|failure| unanswered(&failure))?;
+    let url = Url::parse(&format!("http://{address}/")).map_err(|failure| exchange_error(&failure))?;
     let stream = TcpStream::connect(address).await.context(ConnectSnafu)?;
     let exchange = async_h1::connect(stream, Request::new(Method::Get, url)).await;
-    let mut response = exchange.map_err(|failure| unanswered(&failure))?;
+    let mut response = exchange.map_err(|failure| exchange_error(&failure))?;
     let mut bytes = Vec::new();
-    response.take_body().take(MAX_BYTES).read_to_end(&mut bytes).await.context(BodySnafu)?;
+    response.take_body().take(MAX_LIST_BYTES).read_to_end(&mut bytes).await.context(BodySnafu)?;
     Ok(bytes)
 }
 
-/// The library's error is no `std::error::Error`, so only its text is kept.
-fn unanswered(failure: &dyn std::fmt::Display) -> FetchError {
+/// Keeps only the text, because the library's error does not implement `std::error::Error`.
+fn exchange_error(failure: &dyn std::fmt::Display) -> FetchError {
     FetchError::Exchange { detail: failure.to_string().into() }
 }
