--- a/agatetrestle/src/node/group/tests.rs
+++ b/agatetrestle/src/node/group/tests.rs
@@ -45,7 +45,7 @@
 
 const GROUP: GroupId = GroupId(0);
 const TICK: Duration = Duration::from_millis(5);
-const TRIES: u32 = 2_000;
+const MAX_ATTEMPTS: u32 = 2_000;
 
 /// A disk on the real file system that reports no space while `full` is set.
 struct FullDisk {
@@ -178,7 +178,7 @@
 }
 
 async fn commit<M: StateMachine + 'static>(group: &Group<M>, version: u64) {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         if let ProposalOutcome::Applied(_) = group.submit(change(version)).await {
             return;
         }
@@ -288,7 +288,7 @@
         }
         assert_eq!(encodings.load(Ordering::Relaxed), 0, "the first snapshot is still being encoded");
         group.machine(|machine| machine.release.send(()).unwrap());
-        for version in 20..TRIES.into() {
+        for version in 20..MAX_ATTEMPTS.into() {
             commit(&group, version).await;
             if encodings.load(Ordering::Relaxed) == 1 {
                 // Unblocks the thread of the next snapshot, if there is one.
--- a/agatetrestle/src/node/peer_link.rs
+++ b/agatetrestle/src/node/peer_link.rs
@@ -119,12 +119,12 @@
 }
 
 /// Address of a peer and the connection to it, if any.
-struct Slot {
+struct ConnectionSlot {
     address: SocketAddr,
     connection: RefCell<Option<Connection>>,
 }
 
-impl Slot {
+impl ConnectionSlot {
     fn handle(&self) -> Option<ConnectionHandle> {
         self.connection.borrow().as_ref().map(|connection| connection.handle.clone())
     }
@@ -196,7 +196,7 @@
 
 /// A link to one peer, which reconnects on demand.
 pub struct PeerLink {
-    slot: Rc<Slot>,
+    slot: Rc<ConnectionSlot>,
     /// Address to try if the first one can't be connected to.
     fallback: Cell<Option<SocketAddr>>,
     deadline: Duration,
@@ -229,7 +229,7 @@
     ) -> Rc<Self> {
         let (outbox, inbox) = smol::channel::bounded(MAX_QUEUED_MESSAGES);
         let link = Rc::new(Self {
-            slot: Rc::new(Slot { address, connection: RefCell::default() }),
+            slot: Rc::new(ConnectionSlot { address, connection: RefCell::default() }),
             fallback: Cell::new(None),
             deadline,
             executor,
--- a/agatetrestle/src/node/router/tests.rs
+++ b/agatetrestle/src/node/router/tests.rs
@@ -16,12 +16,12 @@
 /// A replica that answers every request with the same submission.
 struct Replica {
     answer: Submission,
-    asked: Cell<u32>,
+    requests_received: Cell<u32>,
 }
 
 impl GroupService for Replica {
     fn submit(&self, _request: Vec<u8>) -> LocalBoxFuture<'_, Submission> {
-        self.asked.set(self.asked.get() + 1);
+        self.requests_received.set(self.requests_received.get() + 1);
         let answer = self.answer.clone();
         Box::pin(async move { answer })
     }
@@ -45,7 +45,7 @@
         let (_listener, address) = silent_peer().await;
         let links = Links::new(OWN, NO_TIMEOUT, &executor);
         links.add_address(SILENT, address);
-        let replica = Rc::new(Replica { answer, asked: Cell::new(0) });
+        let replica = Rc::new(Replica { answer, requests_received: Cell::new(0) });
         let timeouts = RequestTimeouts { attempt: NO_TIMEOUT, request: NO_TIMEOUT };
         let local: Rc<dyn GroupService> = replica.clone();
         let holders = [OWN, SILENT];
@@ -54,27 +54,28 @@
         let all = (0..requests).map(|_| router.submit(vec![7]));
         let answers = futures::future::join_all(all).await;
         assert_eq!(router.leader_hint.get(), Some(OWN), "the next request goes to the new leader");
-        (answers.into_iter().map(Result::unwrap).collect(), replica.asked.get())
+        (answers.into_iter().map(Result::unwrap).collect(), replica.requests_received.get())
     }))
 }
 
 #[test]
 fn pending_request_moves_from_a_silent_leader_to_a_new_one() {
-    let (answers, asked) = submit_past_a_silent_leader(Submission::Applied(vec![9]), 1);
-    assert_eq!((answers, asked), (vec![vec![9]], 1));
+    let (answers, requests_received) = submit_past_a_silent_leader(Submission::Applied(vec![9]), 1);
+    assert_eq!((answers, requests_received), (vec![vec![9]], 1));
 }
 
 #[test]
 fn concurrent_requests_share_one_leader_search() {
-    let (answers, asked) = submit_past_a_silent_leader(Submission::Applied(vec![9]), 20);
-    assert_eq!((answers.len(), asked), (20, 20), "each request is submitted once");
+    let (answers, requests_received) = submit_past_a_silent_leader(Submission::Applied(vec![9]), 20);
+    assert_eq!((answers.len(), requests_received), (20, 20), "each request is submitted once");
 }
 
 #[test]
 fn request_waits_until_holders_are_set() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
-        let replica = Rc::new(Replica { answer: Submission::Applied(vec![9]), asked: Cell::new(0) });
+        let replica =
+            Rc::new(Replica { answer: Submission::Applied(vec![9]), requests_received: Cell::new(0) });
         let timeouts = RequestTimeouts { attempt: NO_TIMEOUT, request: NO_TIMEOUT };
         let links = Links::new(OWN, NO_TIMEOUT, &executor);
         let router = Router::new(GroupId(1), OWN, Some(replica), links, &[], Clock::start(), timeouts);
@@ -89,14 +90,14 @@
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
         let answer = Submission::Refused("too many commands are under way".into());
-        let replica = Rc::new(Replica { answer, asked: Cell::new(0) });
+        let replica = Rc::new(Replica { answer, requests_received: Cell::new(0) });
         let timeouts = RequestTimeouts { attempt: NO_TIMEOUT, request: RETRY_DELAY * 4 };
         let links = Links::new(OWN, NO_TIMEOUT, &executor);
         let local: Rc<dyn GroupService> = replica.clone();
         let router = Router::new(GroupId(1), OWN, Some(local), links, &[OWN], Clock::start(), timeouts);
         assert!(matches!(router.try_submit(vec![7]).await, Err(GroupError::NotProposed { .. })));
-        assert_eq!(replica.asked.get(), 1);
+        assert_eq!(replica.requests_received.get(), 1);
         assert!(matches!(router.submit(vec![7]).await, Err(GroupError::NotProposed { .. })));
-        assert!(replica.asked.get() > 2, "submit retries until its timeout");
+        assert!(replica.requests_received.get() > 2, "submit retries until its timeout");
     }));
 }
