--- a/agatetrestle/src/agreement/storage/disk.rs
+++ b/agatetrestle/src/agreement/storage/disk.rs
@@ -1,4 +1,4 @@
-//! The border to the file system, so that tests can fill a disk, tear a write and forget what was not synced.
+//! File system abstraction, so that tests can simulate full disks, torn writes and lost unsynced data.
 
 use std::fs;
 use std::fs::File;
@@ -8,30 +8,30 @@
 use std::path::Path;
 use std::path::PathBuf;
 
-/// One flat folder of files. Nothing lasts until it is synced, names included.
+/// One flat folder of files. Neither contents nor names are durable until they are synced.
 pub trait Disk: Send {
-    /// Names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
     ///
-    /// Fails as the file system does, as all methods here.
+    /// Like all methods here, fails on errors of the file system.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// Content of a file.
+    /// Returns the content of a file.
     ///
     /// # Errors
     ///
     /// As above.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Creates an empty file, or empties the one there.
+    /// Creates an empty file, or truncates an existing one to zero length.
     ///
     /// # Errors
     ///
     /// As above.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
-    /// Appends to a file; on failure any part of the bytes may be there.
+    /// Appends to a file; on failure some of the bytes may have been written.
     ///
     /// # Errors
     ///
@@ -42,10 +42,10 @@
     ///
     /// # Errors
     ///
-    /// As above; the content that was not synced is then in doubt.
+    /// As above; the state of unsynced content is then unknown.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Cuts a file to a length; durable after the next sync of it.
+    /// Truncates a file to a length; durable after the next sync of the file.
     ///
     /// # Errors
     ///
@@ -74,10 +74,10 @@
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// Name of the file whose lock says that the folder is in use; the system frees it with the process.
+/// File that is locked while the folder is open; the lock ends with the process.
 const LOCK_FILE: &str = "lock";
 
-/// A folder of the real file system. The file last written to stays open.
+/// A folder of the file system. The file last written to stays open.
 #[derive(Debug)]
 pub struct FileDisk {
     folder: PathBuf,
@@ -86,11 +86,11 @@
 }
 
 impl FileDisk {
-    /// Opens a folder and creates it where it is missing, durably. It is locked until this is dropped.
+    /// Opens and locks a folder, creating it durably if it is missing. The lock is held until this is dropped.
     ///
     /// # Errors
     ///
-    /// Fails as the file system does, and with [`io::ErrorKind::WouldBlock`] if it is in use.
+    /// Fails on errors of the file system, and with [`io::ErrorKind::WouldBlock`] if the folder is in use.
     pub fn open(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
         if let Some(parent) = folder.parent().filter(|parent| !parent.as_os_str().is_empty()) {
@@ -106,12 +106,12 @@
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        let held = self.open.take().filter(|(open, _)| open == name);
-        let held = match held {
-            Some(held) => held,
+        let open = self.open.take().filter(|(open, _)| open == name);
+        let open = match open {
+            Some(open) => open,
             None => (name.to_owned(), OpenOptions::new().append(true).open(self.path(name))?),
         };
-        Ok(&mut self.open.insert(held).1)
+        Ok(&mut self.open.insert(open).1)
     }
 }
 
--- a/agatetrestle/src/agreement/storage/error.rs
+++ b/agatetrestle/src/agreement/storage/error.rs
@@ -1,4 +1,4 @@
-//! Why the storage of a group could not do what it was asked.
+//! Errors of a group's storage.
 
 use std::io;
 use std::sync::Arc;
@@ -8,18 +8,18 @@
 use crate::agreement::coding::CodingError;
 use crate::ids::GroupId;
 
-/// A failure of the storage. After any of them what was acknowledged before is still there.
+/// A failure of the storage. Writes acknowledged before it remain durable.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum StorageError {
-    /// The disk or quota is full; the write is undone and the log can be used up to what was synced.
-    #[snafu(display("no space is left to {operation} {file}: {source}"))]
+    /// The disk or quota is full; the write was rolled back and the storage stays usable.
+    #[snafu(display("no space left, failed to {operation} {file}: {source}"))]
     Full {
         /// Name of the file within the group's folder.
         file: Arc<str>,
-        /// What was tried.
+        /// Operation that failed.
         operation: Operation,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// Another I/O error.
@@ -27,83 +27,83 @@
     Io {
         /// Name of the file within the group's folder.
         file: Arc<str>,
-        /// What was tried.
+        /// Operation that failed.
         operation: Operation,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Another open storage, in this process or another, holds the folder.
+    /// The folder is locked by another open storage, in this process or another.
     #[snafu(display("{file} is in use by another process"))]
     InUse {
         /// The folder.
         file: Arc<str>,
     },
-    /// Bytes that were synced are not what was written.
-    #[snafu(display("{file} is corrupt at offset {offset}: {damage}"))]
+    /// Stored bytes differ from what was written.
+    #[snafu(display("{file} is corrupt at offset {offset}: {corruption}"))]
     Corrupt {
         /// Name of the file within the group's folder.
         file: Arc<str>,
-        /// Offset in bytes.
+        /// Offset of the corruption in bytes.
         offset: u64,
-        /// What is wrong there.
-        damage: Damage,
+        /// Kind of corruption.
+        corruption: Corruption,
     },
-    /// An earlier write failed and could not be undone; the storage must be opened anew.
-    #[snafu(display("an earlier write failed and could not be undone"))]
+    /// An earlier write failed and could not be rolled back; the storage must be reopened.
+    #[snafu(display("an earlier write failed and could not be rolled back"))]
     Poisoned,
 }
 
-/// What is wrong with a file.
+/// Kinds of corruption of a file.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
-pub enum Damage {
-    /// A checksum does not match, and valid data follows or must follow.
-    #[snafu(display("a checksum does not match"))]
+pub enum Corruption {
+    /// A checksum does not match, and the data is not a torn write.
+    #[snafu(display("checksum mismatch"))]
     Checksum,
-    /// The file ends too early.
-    #[snafu(display("the file ends too early"))]
-    Short,
-    /// The file does not begin as files of its kind do.
-    #[snafu(display("the magic number is wrong"))]
+    /// The file ends within its header.
+    #[snafu(display("unexpected end of file"))]
+    Truncated,
+    /// The file does not start with the magic number of its kind.
+    #[snafu(display("wrong magic number"))]
     Magic,
-    /// The file was written by a version that this one can't read.
-    #[snafu(display("format version {version} is unknown"))]
-    Version {
-        /// The version found.
+    /// The file has a format version that is not supported.
+    #[snafu(display("unsupported format version {version}"))]
+    UnknownVersion {
+        /// Version in the file.
         version: u32,
     },
     /// The file belongs to another group.
-    #[snafu(display("it belongs to group {}", group.0))]
-    Group {
-        /// The group found.
+    #[snafu(display("the file belongs to group {}", group.0))]
+    WrongGroup {
+        /// Group in the file.
         group: GroupId,
     },
     /// A segment is missing before this one.
     #[snafu(display("segment {expected} is missing"))]
     MissingSegment {
-        /// Number of the segment that should be here.
+        /// Sequence number of the missing segment.
         expected: u64,
     },
-    /// An entry does not follow the one before it, nor the snapshot.
+    /// An entry follows neither the entry before it nor the snapshot.
     #[snafu(display("entry {index} does not follow entry {last}"))]
     Gap {
-        /// Index found.
+        /// Index of the entry.
         index: u64,
-        /// Index before it.
+        /// Index of the entry or snapshot before it.
         last: u64,
     },
-    /// A record is of a kind that this version doesn't know, or its length is impossible.
-    #[snafu(display("a record is malformed"))]
-    Record,
+    /// A record has an unknown kind or an impossible length.
+    #[snafu(display("malformed record"))]
+    MalformedRecord,
     /// The replica set of a snapshot can't be decoded.
     #[snafu(display("{source}"))]
     Replicas {
-        /// What is wrong with it.
+        /// Cause of the failure.
         source: CodingError,
     },
 }
 
-/// What was tried on a file.
+/// Operations on files, as named in error messages.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum Operation {
     /// Open a folder.
@@ -124,7 +124,7 @@
     /// Sync a file or the folder.
     #[snafu(display("sync"))]
     Sync,
-    /// Cut a file.
+    /// Truncate a file.
     #[snafu(display("truncate"))]
     Truncate,
     /// Rename a file.
@@ -136,7 +136,6 @@
 }
 
 impl StorageError {
-    /// The typed error for what the system said.
     pub(super) fn from_io(operation: Operation, file: &str, source: io::Error) -> Self {
         let file = file.into();
         match source.kind() {
@@ -148,7 +147,7 @@
         }
     }
 
-    pub(super) fn corrupt(file: &str, offset: usize, damage: Damage) -> Self {
-        Self::Corrupt { file: file.into(), offset: offset as u64, damage }
+    pub(super) fn corrupt(file: &str, offset: usize, corruption: Corruption) -> Self {
+        Self::Corrupt { file: file.into(), offset: offset as u64, corruption }
     }
 }
--- a/agatetrestle/src/agreement/storage/frame.rs
+++ b/agatetrestle/src/agreement/storage/frame.rs
@@ -1,9 +1,9 @@
-//! Bytes of a segment: a header, then frames of records.
+//! Format of a segment: a header, then frames of records.
 //!
-//! One frame is what one call wrote and synced. The next frame is written only after that, so a bad
-//! frame with a valid one behind it was synced once and is corruption, while a bad one at the very
-//! end is a torn write of which nothing was acknowledged. The checksum of a frame covers its place
-//! too, so that bytes of a payload that look like a frame never pass for one.
+//! A frame is written and synced before the next one is begun. An invalid frame before a valid one is
+//! therefore corruption, while an invalid frame at the end is a torn write that was never acknowledged.
+//! The checksum of a frame also covers its position, so payload bytes that look like a frame are not
+//! mistaken for one.
 
 use std::sync::Arc;
 
@@ -12,30 +12,27 @@
 use crate::agreement::message::Entry;
 use crate::agreement::message::EntryKind;
 use crate::agreement::message::Position;
-use crate::agreement::storage::error::Damage;
+use crate::agreement::storage::error::Corruption;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
 
-/// First bytes of a segment.
-const MAGIC: &[u8; 8] = b"AGTRLOG\n";
+const SEGMENT_MAGIC: &[u8; 8] = b"AGTRLOG\n";
 
-/// Version of the format of segments.
-const VERSION: u32 = 1;
+const SEGMENT_VERSION: u32 = 1;
 
-/// Bytes of a segment's header: magic, version, group, number of the segment, checksum.
+/// Size of a segment header: magic, version, group, sequence number, checksum.
 pub(super) const HEADER_BYTES: usize = 8 + 4 + 4 + 8 + 4;
 
-/// Bytes before a frame's records: length and checksum.
+/// Size of a frame header: length and checksum.
 pub(super) const FRAME_HEADER_BYTES: usize = 4 + 4;
 
-/// Bytes of the frame that begins each segment: its header and one hard state.
+/// Size of the first frame of a segment: a frame header and one hard state.
 pub(super) const FIRST_FRAME_BYTES: usize = FRAME_HEADER_BYTES + 1 + 8 + 8 + 8 + 8;
 
-const HARD_STATE: u8 = 1;
-const TRUNCATE: u8 = 2;
-const ENTRY: u8 = 3;
+const HARD_STATE_TAG: u8 = 1;
+const TRUNCATE_TAG: u8 = 2;
+const ENTRY_TAG: u8 = 3;
 
-/// One record of a frame.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Record {
     HardState(HardState),
@@ -43,11 +40,10 @@
     Entry(Entry),
 }
 
-/// The header of a segment.
 pub(super) fn encode_header(group: GroupId, sequence: u64) -> Vec<u8> {
     let mut buf = Vec::with_capacity(HEADER_BYTES);
-    buf.extend_from_slice(MAGIC);
-    buf.extend_from_slice(&VERSION.to_le_bytes());
+    buf.extend_from_slice(SEGMENT_MAGIC);
+    buf.extend_from_slice(&SEGMENT_VERSION.to_le_bytes());
     buf.extend_from_slice(&group.0.to_le_bytes());
     buf.extend_from_slice(&sequence.to_le_bytes());
     let checksum = crc32fast::hash(&buf);
@@ -55,30 +51,29 @@
     buf
 }
 
-/// Checks the header of a segment.
-pub(super) fn check_header(bytes: &[u8], group: GroupId, sequence: u64) -> Result<(), Damage> {
-    let mut reader = Reader { bytes };
-    let magic = reader.take(MAGIC.len()).ok_or(Damage::Short)?;
-    let version = reader.u32().ok_or(Damage::Short)?;
-    let found = GroupId(reader.u32().ok_or(Damage::Short)?);
-    let number = reader.u64().ok_or(Damage::Short)?;
-    let checksum = reader.u32().ok_or(Damage::Short)?;
-    if magic != MAGIC {
-        return Err(Damage::Magic);
+pub(super) fn check_header(bytes: &[u8], group: GroupId, sequence: u64) -> Result<(), Corruption> {
+    let mut reader = ByteReader { bytes };
+    let magic = reader.take(SEGMENT_MAGIC.len()).ok_or(Corruption::Truncated)?;
+    let version = reader.u32().ok_or(Corruption::Truncated)?;
+    let found_group = GroupId(reader.u32().ok_or(Corruption::Truncated)?);
+    let found_sequence = reader.u64().ok_or(Corruption::Truncated)?;
+    let checksum = reader.u32().ok_or(Corruption::Truncated)?;
+    if magic != SEGMENT_MAGIC {
+        return Err(Corruption::Magic);
     }
-    if version != VERSION {
-        return Err(Damage::Version { version });
+    if version != SEGMENT_VERSION {
+        return Err(Corruption::UnknownVersion { version });
     }
-    if checksum != crc32fast::hash(&bytes[..HEADER_BYTES - 4]) || number != sequence {
-        return Err(Damage::Checksum);
+    if checksum != crc32fast::hash(&bytes[..HEADER_BYTES - 4]) || found_sequence != sequence {
+        return Err(Corruption::Checksum);
     }
-    if found != group {
-        return Err(Damage::Group { group: found });
+    if found_group != group {
+        return Err(Corruption::WrongGroup { group: found_group });
     }
     Ok(())
 }
 
-/// Gathers the records of one frame.
+/// Encodes the records of one frame.
 #[derive(Debug)]
 pub(super) struct FrameBuffer {
     bytes: Vec<u8>,
@@ -97,8 +92,8 @@
         self.bytes.len()
     }
 
-    pub(super) fn hard_state(&mut self, state: HardState) {
-        self.bytes.push(HARD_STATE);
+    pub(super) fn push_hard_state(&mut self, state: HardState) {
+        self.bytes.push(HARD_STATE_TAG);
         self.bytes.extend_from_slice(&state.term.to_le_bytes());
         self.bytes.extend_from_slice(&state.vote.unwrap_or_default().0.to_le_bytes());
         let admission = state.without_vote.unwrap_or_default();
@@ -106,13 +101,13 @@
         self.bytes.extend_from_slice(&admission.round.to_le_bytes());
     }
 
-    pub(super) fn truncate(&mut self, index: u64) {
-        self.bytes.push(TRUNCATE);
+    pub(super) fn push_truncate(&mut self, index: u64) {
+        self.bytes.push(TRUNCATE_TAG);
         self.bytes.extend_from_slice(&index.to_le_bytes());
     }
 
-    pub(super) fn entry(&mut self, entry: &Entry) {
-        self.bytes.push(ENTRY);
+    pub(super) fn push_entry(&mut self, entry: &Entry) {
+        self.bytes.push(ENTRY_TAG);
         self.bytes.push(match entry.kind {
             EntryKind::Command => 0,
             EntryKind::NoOperation => 1,
@@ -125,7 +120,7 @@
         self.bytes.extend_from_slice(&entry.payload);
     }
 
-    /// The frame for its place in the log.
+    /// Returns the bytes of the frame at an offset of a segment.
     pub(super) fn finish(mut self, sequence: u64, offset: usize) -> Vec<u8> {
         let length =
             u32::try_from(self.bytes.len() - FRAME_HEADER_BYTES).expect("a batch is smaller than 4 GiB");
@@ -136,9 +131,9 @@
     }
 }
 
-/// The records of the frame at an offset, with the offset behind it; `None` if there is no valid frame.
-pub(super) fn frame_at(bytes: &[u8], sequence: u64, offset: usize) -> Option<(&[u8], usize)> {
-    let mut reader = Reader { bytes: bytes.get(offset..)? };
+/// Returns the records of the frame at an offset and the offset of its end, or `None` if it is invalid.
+pub(super) fn read_frame(bytes: &[u8], sequence: u64, offset: usize) -> Option<(&[u8], usize)> {
+    let mut reader = ByteReader { bytes: bytes.get(offset..)? };
     let length = usize::try_from(reader.u32()?).ok()?;
     let checksum = reader.u32()?;
     let records = reader.take(length)?;
@@ -146,26 +141,24 @@
     valid.then_some((records, offset + FRAME_HEADER_BYTES + length))
 }
 
-/// Whether any valid frame begins after an offset.
+/// Returns whether a valid frame starts anywhere after an offset.
 pub(super) fn has_frame_after(bytes: &[u8], sequence: u64, offset: usize) -> bool {
     (offset + 1..bytes.len()).any(|at| {
         let kind = bytes.get(at + FRAME_HEADER_BYTES);
-        let plausible = kind.is_some_and(|kind| (HARD_STATE..=ENTRY).contains(kind));
-        plausible && frame_at(bytes, sequence, at).is_some()
+        let plausible = kind.is_some_and(|kind| (HARD_STATE_TAG..=ENTRY_TAG).contains(kind));
+        plausible && read_frame(bytes, sequence, at).is_some()
     })
 }
 
-/// Reads the records of a frame.
-pub(super) fn decode_records(bytes: &[u8]) -> Result<Vec<Record>, Damage> {
-    let mut reader = Reader { bytes };
+pub(super) fn decode_records(bytes: &[u8]) -> Result<Vec<Record>, Corruption> {
+    let mut reader = ByteReader { bytes };
     let mut records = Vec::new();
     while !reader.bytes.is_empty() {
-        records.push(reader.record().ok_or(Damage::Record)?);
+        records.push(reader.record().ok_or(Corruption::MalformedRecord)?);
     }
     Ok(records)
 }
 
-/// The checksum of a frame's records at their place.
 fn frame_checksum(sequence: u64, offset: usize, records: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&sequence.to_le_bytes());
@@ -174,12 +167,12 @@
     hasher.finalize()
 }
 
-/// Takes numbers off the front of a run of bytes.
-pub(super) struct Reader<'a> {
+/// Cursor over encoded bytes; a read past the end returns `None`.
+pub(super) struct ByteReader<'a> {
     pub(super) bytes: &'a [u8],
 }
 
-impl<'a> Reader<'a> {
+impl<'a> ByteReader<'a> {
     pub(super) fn take(&mut self, length: usize) -> Option<&'a [u8]> {
         let (taken, rest) = self.bytes.split_at_checked(length)?;
         self.bytes = rest;
@@ -200,15 +193,15 @@
 
     fn record(&mut self) -> Option<Record> {
         match self.take(1)?[0] {
-            HARD_STATE => {
+            HARD_STATE_TAG => {
                 let term = self.u64()?;
                 let vote = Some(NodeId(self.u64()?)).filter(|node| node.0 != 0);
                 let admission = LearnerAdmission { term: self.u64()?, round: self.u64()? };
                 let without_vote = Some(admission).filter(|admission| admission.term != 0);
                 Some(Record::HardState(HardState { term, vote, without_vote }))
             }
-            TRUNCATE => Some(Record::Truncate(self.u64()?)),
-            ENTRY => self.entry().map(Record::Entry),
+            TRUNCATE_TAG => Some(Record::Truncate(self.u64()?)),
+            ENTRY_TAG => self.entry().map(Record::Entry),
             _ => None,
         }
     }
--- a/agatetrestle/src/agreement/storage/recovery.rs
+++ b/agatetrestle/src/agreement/storage/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading a group's folder at start.
+//! Recovery of a group's log and snapshot at startup.
 
 use crate::agreement::HardState;
 use crate::agreement::Snapshot;
@@ -6,9 +6,9 @@
 use crate::agreement::replica::PersistentState;
 use crate::agreement::storage::SNAPSHOT_FILE;
 use crate::agreement::storage::Segment;
-use crate::agreement::storage::TEMPORARY_FILE;
+use crate::agreement::storage::TEMPORARY_SNAPSHOT;
 use crate::agreement::storage::disk::Disk;
-use crate::agreement::storage::error::Damage;
+use crate::agreement::storage::error::Corruption;
 use crate::agreement::storage::error::Operation;
 use crate::agreement::storage::error::StorageError;
 use crate::agreement::storage::frame;
@@ -18,35 +18,35 @@
 use crate::agreement::storage::snapshot_file;
 use crate::ids::GroupId;
 
-/// What was found, with the segments in order.
-pub(super) struct Recovered {
+/// Contents of the folder, with the segments in order.
+pub(super) struct RecoveredLog {
     pub(super) restored: PersistentState,
     pub(super) segments: Vec<Segment>,
 }
 
-/// Reads everything, cuts a torn tail off and refuses other damage.
-pub(super) fn recover(disk: &mut dyn Disk, group: GroupId) -> Result<Recovered, StorageError> {
+/// Reads the snapshot and all segments, truncates a torn tail and fails on other corruption.
+pub(super) fn recover(disk: &mut dyn Disk, group: GroupId) -> Result<RecoveredLog, StorageError> {
     let names = disk.list().map_err(|source| StorageError::from_io(Operation::List, "the folder", source))?;
-    if names.iter().any(|name| name == TEMPORARY_FILE) {
-        let removed = disk.remove(TEMPORARY_FILE);
-        removed.map_err(|source| StorageError::from_io(Operation::Remove, TEMPORARY_FILE, source))?;
+    if names.iter().any(|name| name == TEMPORARY_SNAPSHOT) {
+        let removed = disk.remove(TEMPORARY_SNAPSHOT);
+        removed.map_err(|source| StorageError::from_io(Operation::Remove, TEMPORARY_SNAPSHOT, source))?;
     }
-    let stored = names.iter().any(|name| name == SNAPSHOT_FILE);
-    let snapshot = stored.then(|| read_snapshot(disk, group)).transpose()?;
+    let has_snapshot = names.iter().any(|name| name == SNAPSHOT_FILE);
+    let snapshot = has_snapshot.then(|| read_snapshot(disk, group)).transpose()?;
     let mut sequences: Vec<u64> = names.iter().filter_map(|name| segment_sequence(name)).collect();
     sequences.sort_unstable();
-    check_sequences(&sequences)?;
+    check_consecutive(&sequences)?;
     let mut recovery = Recovery::new(snapshot);
-    for (place, sequence) in sequences.iter().enumerate() {
-        let last = place + 1 == sequences.len();
-        recovery.read_segment(disk, group, *sequence, last)?;
+    for (position, sequence) in sequences.iter().enumerate() {
+        let is_last = position + 1 == sequences.len();
+        recovery.read_segment(disk, group, *sequence, is_last)?;
     }
-    sync_found(disk, &recovery.segments)?;
+    sync_recovered(disk, &recovery.segments)?;
     Ok(recovery.finish())
 }
 
-/// Makes durable what was read: a process that was killed may have left it in the system's cache alone.
-fn sync_found(disk: &mut dyn Disk, segments: &[Segment]) -> Result<(), StorageError> {
+/// Syncs what was read, since a killed process may have left it in the page cache only.
+fn sync_recovered(disk: &mut dyn Disk, segments: &[Segment]) -> Result<(), StorageError> {
     if let Some(segment) = segments.last() {
         let name = segment_name(segment.sequence);
         disk.sync(&name).map_err(|source| StorageError::from_io(Operation::Sync, &name, source))?;
@@ -58,15 +58,15 @@
     let bytes = disk.read(SNAPSHOT_FILE);
     let bytes = bytes.map_err(|source| StorageError::from_io(Operation::Read, SNAPSHOT_FILE, source))?;
     let snapshot = snapshot_file::decode(group, &bytes.into());
-    snapshot.map_err(|damage| StorageError::corrupt(SNAPSHOT_FILE, 0, damage))
+    snapshot.map_err(|corruption| StorageError::corrupt(SNAPSHOT_FILE, 0, corruption))
 }
 
-fn check_sequences(sequences: &[u64]) -> Result<(), StorageError> {
+fn check_consecutive(sequences: &[u64]) -> Result<(), StorageError> {
     for pair in sequences.windows(2) {
         let expected = pair[0] + 1;
         if pair[1] != expected {
-            let damage = Damage::MissingSegment { expected };
-            return Err(StorageError::corrupt(&segment_name(pair[1]), 0, damage));
+            let corruption = Corruption::MissingSegment { expected };
+            return Err(StorageError::corrupt(&segment_name(pair[1]), 0, corruption));
         }
     }
     Ok(())
@@ -89,20 +89,22 @@
         disk: &mut dyn Disk,
         group: GroupId,
         sequence: u64,
-        last: bool,
+        is_last: bool,
     ) -> Result<(), StorageError> {
         let name = segment_name(sequence);
         let bytes =
             disk.read(&name).map_err(|source| StorageError::from_io(Operation::Read, &name, source))?;
         let header = frame::check_header(&bytes, group, sequence);
-        let first = frame::frame_at(&bytes, sequence, frame::HEADER_BYTES);
-        if let Some(damage) = header.err().or_else(|| first.is_none().then_some(Damage::Checksum)) {
-            return discard_torn_segment(disk, &name, &bytes, last, damage);
+        let first_frame = frame::read_frame(&bytes, sequence, frame::HEADER_BYTES);
+        if let Some(corruption) =
+            header.err().or_else(|| first_frame.is_none().then_some(Corruption::Checksum))
+        {
+            return discard_torn_segment(disk, &name, &bytes, is_last, corruption);
         }
         let mut segment = Segment { sequence, length: frame::HEADER_BYTES, last_index: 0 };
         while segment.length < bytes.len() {
-            let Some((records, end)) = frame::frame_at(&bytes, sequence, segment.length) else {
-                cut_torn_tail(disk, &name, &bytes, &segment, last)?;
+            let Some((records, end)) = frame::read_frame(&bytes, sequence, segment.length) else {
+                truncate_torn_tail(disk, &name, &bytes, &segment, is_last)?;
                 break;
             };
             self.apply_frame(&name, &mut segment, records)?;
@@ -113,21 +115,21 @@
     }
 
     fn apply_frame(&mut self, name: &str, segment: &mut Segment, records: &[u8]) -> Result<(), StorageError> {
-        let corrupt = |damage| StorageError::corrupt(name, segment.length, damage);
+        let corrupt = |corruption| StorageError::corrupt(name, segment.length, corruption);
         for record in frame::decode_records(records).map_err(corrupt)? {
             match record {
                 Record::HardState(state) => self.hard_state = state,
                 Record::Truncate(index) => self.entries.retain(|entry| entry.position.index < index),
                 Record::Entry(entry) => {
                     segment.last_index = segment.last_index.max(entry.position.index);
-                    self.push(entry).map_err(corrupt)?;
+                    self.push_entry(entry).map_err(corrupt)?;
                 }
             }
         }
         Ok(())
     }
 
-    fn push(&mut self, entry: Entry) -> Result<(), Damage> {
+    fn push_entry(&mut self, entry: Entry) -> Result<(), Corruption> {
         let covered = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
         let index = entry.position.index;
         if index <= covered {
@@ -135,45 +137,46 @@
         }
         let last = self.entries.last().map_or(covered, |entry| entry.position.index);
         if index != last + 1 {
-            return Err(Damage::Gap { index, last });
+            return Err(Corruption::Gap { index, last });
         }
         self.entries.push(entry);
         Ok(())
     }
 
-    fn finish(self) -> Recovered {
+    fn finish(self) -> RecoveredLog {
         let Self { hard_state, snapshot, entries, segments } = self;
-        Recovered { restored: PersistentState { hard_state, snapshot, entries }, segments }
+        RecoveredLog { restored: PersistentState { hard_state, snapshot, entries }, segments }
     }
 }
 
-/// Removes a last segment whose creation was torn. Its header and first frame are synced together
-/// before anything follows, so it is no longer than these.
+/// Removes the last segment if its creation was torn. The header and the first frame are synced together,
+/// so a torn segment is never longer than both.
 fn discard_torn_segment(
     disk: &mut dyn Disk,
     name: &str,
     bytes: &[u8],
-    last: bool,
-    damage: Damage,
+    is_last: bool,
+    corruption: Corruption,
 ) -> Result<(), StorageError> {
-    let foreign = matches!(damage, Damage::Group { .. } | Damage::Version { version: 1.. });
-    let torn = bytes.len() <= frame::HEADER_BYTES + frame::FIRST_FRAME_BYTES && !foreign;
-    if !last || !torn {
-        return Err(StorageError::corrupt(name, 0, damage));
+    let is_foreign =
+        matches!(corruption, Corruption::WrongGroup { .. } | Corruption::UnknownVersion { version: 1.. });
+    let torn = bytes.len() <= frame::HEADER_BYTES + frame::FIRST_FRAME_BYTES && !is_foreign;
+    if !is_last || !torn {
+        return Err(StorageError::corrupt(name, 0, corruption));
     }
     disk.remove(name).map_err(|source| StorageError::from_io(Operation::Remove, name, source))?;
     disk.sync_folder().map_err(|source| StorageError::from_io(Operation::Sync, "the folder", source))
 }
 
-fn cut_torn_tail(
+fn truncate_torn_tail(
     disk: &mut dyn Disk,
     name: &str,
     bytes: &[u8],
     segment: &Segment,
-    last: bool,
+    is_last: bool,
 ) -> Result<(), StorageError> {
-    if !last || frame::has_frame_after(bytes, segment.sequence, segment.length) {
-        return Err(StorageError::corrupt(name, segment.length, Damage::Checksum));
+    if !is_last || frame::has_frame_after(bytes, segment.sequence, segment.length) {
+        return Err(StorageError::corrupt(name, segment.length, Corruption::Checksum));
     }
     let length = segment.length as u64;
     disk.truncate(name, length).map_err(|source| StorageError::from_io(Operation::Truncate, name, source))?;
--- a/agatetrestle/src/agreement/storage/snapshot_file.rs
+++ b/agatetrestle/src/agreement/storage/snapshot_file.rs
@@ -1,59 +1,58 @@
-//! Bytes of the snapshot file.
+//! Format of the snapshot file.
 
 use bytes::Bytes;
 
 use crate::agreement::Snapshot;
 use crate::agreement::coding;
 use crate::agreement::message::Position;
-use crate::agreement::storage::error::Damage;
-use crate::agreement::storage::frame::Reader;
+use crate::agreement::storage::error::Corruption;
+use crate::agreement::storage::frame::ByteReader;
 use crate::ids::GroupId;
 
-/// First bytes of a snapshot file.
-const MAGIC: &[u8; 8] = b"AGTRSNP\n";
+const SNAPSHOT_MAGIC: &[u8; 8] = b"AGTRSNP\n";
 
-/// Version of the format of snapshot files.
-const VERSION: u32 = 1;
+const SNAPSHOT_VERSION: u32 = 1;
 
-/// Bytes of the checksum at the end.
 const CHECKSUM_BYTES: usize = 4;
 
-/// What stands before a snapshot's data in its file, and the checksum of both behind it. The data is written from
-/// where it is, since a copy of it would be the largest thing in the process.
-pub(super) fn frame(group: GroupId, snapshot: &Snapshot) -> (Vec<u8>, [u8; CHECKSUM_BYTES]) {
-    let mut head = MAGIC.to_vec();
-    head.extend_from_slice(&VERSION.to_le_bytes());
-    head.extend_from_slice(&group.0.to_le_bytes());
-    head.extend_from_slice(&snapshot.position.term.to_le_bytes());
-    head.extend_from_slice(&snapshot.position.index.to_le_bytes());
-    head.extend_from_slice(&coding::snapshot_header(&snapshot.replicas));
+/// Returns the header and the checksum, which are written before and after the snapshot's data. The data is large
+/// and is not copied.
+pub(super) fn encode_framing(group: GroupId, snapshot: &Snapshot) -> (Vec<u8>, [u8; CHECKSUM_BYTES]) {
+    let mut header = SNAPSHOT_MAGIC.to_vec();
+    header.extend_from_slice(&SNAPSHOT_VERSION.to_le_bytes());
+    header.extend_from_slice(&group.0.to_le_bytes());
+    header.extend_from_slice(&snapshot.position.term.to_le_bytes());
+    header.extend_from_slice(&snapshot.position.index.to_le_bytes());
+    header.extend_from_slice(&coding::snapshot_header(&snapshot.replicas));
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&head);
+    hasher.update(&header);
     hasher.update(&snapshot.data);
-    (head, hasher.finalize().to_le_bytes())
+    (header, hasher.finalize().to_le_bytes())
 }
 
-pub(super) fn decode(group: GroupId, bytes: &Bytes) -> Result<Snapshot, Damage> {
-    let length = bytes.len().checked_sub(CHECKSUM_BYTES).ok_or(Damage::Short)?;
+pub(super) fn decode(group: GroupId, bytes: &Bytes) -> Result<Snapshot, Corruption> {
+    let length = bytes.len().checked_sub(CHECKSUM_BYTES).ok_or(Corruption::Truncated)?;
     let (content, checksum) = bytes.split_at(length);
-    let mut reader = Reader { bytes: content };
-    let magic = reader.take(MAGIC.len()).ok_or(Damage::Short)?;
-    let version = reader.u32().ok_or(Damage::Short)?;
-    if magic != MAGIC {
-        return Err(Damage::Magic);
+    let mut reader = ByteReader { bytes: content };
+    let magic = reader.take(SNAPSHOT_MAGIC.len()).ok_or(Corruption::Truncated)?;
+    let version = reader.u32().ok_or(Corruption::Truncated)?;
+    if magic != SNAPSHOT_MAGIC {
+        return Err(Corruption::Magic);
     }
-    if version != VERSION {
-        return Err(Damage::Version { version });
+    if version != SNAPSHOT_VERSION {
+        return Err(Corruption::UnknownVersion { version });
     }
     if checksum != crc32fast::hash(content).to_le_bytes() {
-        return Err(Damage::Checksum);
+        return Err(Corruption::Checksum);
     }
-    let found = GroupId(reader.u32().ok_or(Damage::Short)?);
-    if found != group {
-        return Err(Damage::Group { group: found });
+    let found_group = GroupId(reader.u32().ok_or(Corruption::Truncated)?);
+    if found_group != group {
+        return Err(Corruption::WrongGroup { group: found_group });
     }
-    let position =
-        Position { term: reader.u64().ok_or(Damage::Short)?, index: reader.u64().ok_or(Damage::Short)? };
+    let position = Position {
+        term: reader.u64().ok_or(Corruption::Truncated)?,
+        index: reader.u64().ok_or(Corruption::Truncated)?,
+    };
     coding::decode_snapshot(position, &bytes.slice_ref(reader.bytes))
-        .map_err(|source| Damage::Replicas { source })
+        .map_err(|source| Corruption::Replicas { source })
 }
--- a/agatetrestle/src/agreement/storage/tests.rs
+++ b/agatetrestle/src/agreement/storage/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the storage on a disk in memory that crashes, tears and fills up, and on real files.
+//! Tests of the storage on real files, and on an in-memory disk with crashes, torn writes and limited space.
 
 mod memory;
 mod random;
@@ -42,7 +42,7 @@
     Storage::open_on(Box::new(disk.clone()), CFG)
 }
 
-/// A folder of its own for one test, removed at the end.
+/// A temporary folder, removed on drop.
 struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn real_files_keep_what_was_written() {
+fn restores_state_from_real_files() {
     let folder = TemporaryFolder::new();
     let state = HardState {
         term: 4,
@@ -81,18 +81,18 @@
 }
 
 #[test]
-fn a_batch_is_one_sync() {
+fn syncs_once_per_batch() {
     let disk = MemoryDisk::default();
     let (mut storage, _) =
         Storage::open_on(Box::new(disk.clone()), StorageConfig { segment_bytes: 1 << 20, ..CFG }).unwrap();
-    let before = disk.syncs();
+    let syncs_before = disk.syncs();
     let batch: Vec<Write> = (1..=256).map(|index| entries(1, index..=index)).collect();
     storage.write(&batch).unwrap();
-    assert_eq!(disk.syncs() - before, 1);
+    assert_eq!(disk.syncs() - syncs_before, 1);
 }
 
 #[test]
-fn snapshot_frees_covered_segments_and_keeps_the_vote() {
+fn snapshot_removes_covered_segments_and_keeps_the_vote() {
     let disk = MemoryDisk::default();
     let (mut storage, _) = open(&disk).unwrap();
     let state = HardState { term: 9, vote: Some(NodeId(5)), without_vote: None };
@@ -100,25 +100,25 @@
     for index in 1..=100 {
         storage.write(&[entries(9, index..=index)]).unwrap();
     }
-    let before = disk.names().len();
+    let files_before = disk.names().len();
     storage.save_snapshot(&snapshot(9, 100)).unwrap();
-    assert!(before > 10, "{before} files");
-    assert_eq!(disk.names().len(), 2, "the last segment and the snapshot");
+    assert!(files_before > 10, "{files_before} files");
+    assert_eq!(disk.names().len(), 2, "only the last segment and the snapshot remain");
     drop(storage);
     let (_, restored) = open(&disk).unwrap();
     assert_eq!((restored.hard_state, restored.entries.len()), (state, 0));
 }
 
 #[test]
-fn full_disk_is_typed_and_loses_nothing() {
+fn full_disk_is_reported_and_loses_no_data() {
     let disk = MemoryDisk::default();
     let (mut storage, _) = open(&disk).unwrap();
     storage.write(&[entries(1, 1..=3)]).unwrap();
-    disk.limit(disk.used() + 30);
+    disk.set_limit(disk.used() + 30);
     let error = storage.write(&[entries(1, 4..=4)]).unwrap_err();
     assert!(matches!(error, StorageError::Full { .. }), "{error}");
     assert!(matches!(storage.save_snapshot(&snapshot(1, 2)), Err(StorageError::Full { .. })));
-    disk.limit(usize::MAX);
+    disk.set_limit(usize::MAX);
     storage.write(&[entries(1, 4..=5)]).unwrap();
     drop(storage);
     disk.crash(1);
@@ -127,13 +127,13 @@
 }
 
 #[test]
-fn failed_sync_is_undone_or_poisons() {
+fn failed_sync_is_rolled_back_or_poisons_the_storage() {
     let disk = MemoryDisk::default();
     let (mut storage, _) = open(&disk).unwrap();
     storage.write(&[entries(1, 1..=3)]).unwrap();
-    disk.die_after(1);
+    disk.fail_after(1);
     assert!(matches!(storage.write(&[entries(1, 4..=4)]), Err(StorageError::Io { .. })));
-    disk.revive();
+    disk.clear_failure();
     assert!(matches!(storage.write(&[entries(1, 4..=4)]), Err(StorageError::Poisoned)));
     drop(storage);
     let (mut storage, restored) = open(&disk).unwrap();
@@ -141,34 +141,34 @@
     storage.write(&[entries(1, next..=next)]).unwrap();
 }
 
-/// Five frames in one segment; returns the disk and where each frame begins.
+/// Writes five frames into one segment; returns the disk and the offset of each frame.
 fn five_frames() -> (MemoryDisk, Vec<usize>) {
     let disk = MemoryDisk::default();
     let (mut storage, _) = open(&disk).unwrap();
-    let begin = |index: u64| {
-        let begins = disk.used();
+    let write_frame = |index: u64| {
+        let offset = disk.used();
         storage.write(&[entries(1, index..=index)]).unwrap();
-        begins
+        offset
     };
-    let offsets = (1..=5).map(begin).collect();
+    let offsets = (1..=5).map(write_frame).collect();
     (disk, offsets)
 }
 
 const FIRST_SEGMENT: &str = "log-0000000000000001";
 
 #[test]
-fn corruption_in_the_middle_is_refused_with_file_and_offset() {
+fn reports_corruption_with_file_and_offset() {
     let (disk, offsets) = five_frames();
     disk.flip(FIRST_SEGMENT, offsets[2] + 20);
     let error = open(&disk).unwrap_err();
-    insta::assert_snapshot!(error, @"log-0000000000000001 is corrupt at offset 169: a checksum does not match");
+    insta::assert_snapshot!(error, @"log-0000000000000001 is corrupt at offset 169: checksum mismatch");
     disk.flip(FIRST_SEGMENT, offsets[2] + 20);
     disk.flip(FIRST_SEGMENT, 3);
-    insta::assert_snapshot!(open(&disk).unwrap_err(), @"log-0000000000000001 is corrupt at offset 0: the magic number is wrong");
+    insta::assert_snapshot!(open(&disk).unwrap_err(), @"log-0000000000000001 is corrupt at offset 0: wrong magic number");
 }
 
 #[test]
-fn no_flipped_byte_before_the_last_frame_goes_unnoticed() {
+fn detects_every_flipped_byte_before_the_last_frame() {
     let (disk, offsets) = five_frames();
     for offset in 0..offsets[4] {
         let damaged = disk.deep_clone();
@@ -178,12 +178,12 @@
 }
 
 #[test]
-fn torn_tail_is_cut_off_at_every_length() {
+fn truncates_torn_tail_of_any_length() {
     let (disk, offsets) = five_frames();
-    let whole = disk.used();
-    for length in offsets[4]..whole {
+    let full_length = disk.used();
+    for length in offsets[4]..full_length {
         let torn = disk.deep_clone();
-        torn.cut(FIRST_SEGMENT, length);
+        torn.truncate_file(FIRST_SEGMENT, length);
         let (mut storage, restored) = open(&torn).unwrap();
         assert_eq!(restored.entries.len(), 4);
         storage.write(&[entries(2, 5..=5)]).unwrap();
@@ -193,24 +193,24 @@
 }
 
 #[test]
-fn missing_segment_snapshot_damage_and_foreign_group_are_refused() {
+fn rejects_missing_segments_corrupt_snapshots_and_foreign_groups() {
     let disk = MemoryDisk::default();
     let (mut storage, _) = open(&disk).unwrap();
     for index in 1..=40 {
         storage.write(&[entries(1, index..=index)]).unwrap();
     }
-    let gap = disk.deep_clone();
-    gap.delete("log-0000000000000002");
-    insta::assert_snapshot!(open(&gap).unwrap_err(), @"log-0000000000000003 is corrupt at offset 0: segment 2 is missing");
-    let front = disk.deep_clone();
-    front.delete(FIRST_SEGMENT);
-    assert!(matches!(open(&front), Err(StorageError::Corrupt { .. })));
+    let without_second = disk.deep_clone();
+    without_second.delete("log-0000000000000002");
+    insta::assert_snapshot!(open(&without_second).unwrap_err(), @"log-0000000000000003 is corrupt at offset 0: segment 2 is missing");
+    let without_first = disk.deep_clone();
+    without_first.delete(FIRST_SEGMENT);
+    assert!(matches!(open(&without_first), Err(StorageError::Corrupt { .. })));
     storage.save_snapshot(&snapshot(1, 10)).unwrap();
     disk.flip("snapshot", 50);
-    insta::assert_snapshot!(open(&disk).unwrap_err(), @"snapshot is corrupt at offset 0: a checksum does not match");
+    insta::assert_snapshot!(open(&disk).unwrap_err(), @"snapshot is corrupt at offset 0: checksum mismatch");
     let foreign = StorageConfig { group: GroupId(4), ..CFG };
     insta::assert_snapshot!(
         Storage::open_on(Box::new(five_frames().0), foreign).unwrap_err(),
-        @"log-0000000000000001 is corrupt at offset 0: it belongs to group 3"
+        @"log-0000000000000001 is corrupt at offset 0: the file belongs to group 3"
     );
 }
--- a/agatetrestle/src/agreement/storage/tests/memory.rs
+++ b/agatetrestle/src/agreement/storage/tests/memory.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that forgets what was not synced.
+//! An in-memory disk that loses unsynced data in a simulated crash.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,7 +8,7 @@
 
 use crate::agreement::storage::disk::Disk;
 
-/// Content of a file, whatever its names.
+/// Content of a file, independent of its name.
 #[derive(Clone, Debug, Default)]
 struct Node {
     current: Vec<u8>,
@@ -22,11 +22,11 @@
     synced_names: BTreeMap<String, usize>,
     limit: usize,
     syncs: usize,
-    /// Operations that still work.
-    alive_for: usize,
+    /// Operations that succeed before all others fail.
+    operations_left: usize,
 }
 
-/// Handles to one disk; a clone is the same disk.
+/// Handle to a disk; clones share the disk.
 #[derive(Clone, Debug)]
 pub(super) struct MemoryDisk(Arc<Mutex<State>>);
 
@@ -39,7 +39,7 @@
             names,
             limit: usize::MAX,
             syncs: 0,
-            alive_for: usize::MAX,
+            operations_left: usize::MAX,
         };
         Self(Arc::new(Mutex::new(state)))
     }
@@ -66,50 +66,50 @@
         self.state().names.keys().cloned().collect()
     }
 
-    pub(super) fn limit(&self, bytes: usize) {
+    pub(super) fn set_limit(&self, bytes: usize) {
         self.state().limit = bytes;
     }
 
-    /// Lets so many more operations work and no other after them.
-    pub(super) fn die_after(&self, operations: usize) {
-        self.state().alive_for = operations;
+    /// Makes all operations fail after the given number of them.
+    pub(super) fn fail_after(&self, operations: usize) {
+        self.state().operations_left = operations;
     }
 
-    pub(super) fn revive(&self) {
-        self.state().alive_for = usize::MAX;
+    pub(super) fn clear_failure(&self) {
+        self.state().operations_left = usize::MAX;
     }
 
     pub(super) fn flip(&self, name: &str, offset: usize) {
-        self.change(name, |bytes| bytes[offset] ^= 0x55);
+        self.modify(name, |bytes| bytes[offset] ^= 0x55);
     }
 
-    pub(super) fn cut(&self, name: &str, length: usize) {
-        self.change(name, |bytes| bytes.truncate(length));
+    pub(super) fn truncate_file(&self, name: &str, length: usize) {
+        self.modify(name, |bytes| bytes.truncate(length));
     }
 
     pub(super) fn delete(&self, name: &str) {
         self.state().names.remove(name);
     }
 
-    fn change(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
+    fn modify(&self, name: &str, modify: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.state();
         let node = state.names[name];
-        change(&mut state.nodes[node].current);
+        modify(&mut state.nodes[node].current);
     }
 
-    /// Loses power: each name and each unsynced byte may be lost or not, as the seed has it.
+    /// Simulates a power loss; the seed decides which unsynced names and bytes are lost.
     pub(super) fn crash(&self, seed: u64) {
         let mut random = seed;
-        let mut below = move |bound: usize| {
+        let mut random_below = move |bound: usize| {
             random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             usize::try_from(random >> 33).unwrap() % bound.max(1)
         };
         let mut state = self.state();
-        state.alive_for = usize::MAX;
+        state.operations_left = usize::MAX;
         let names: Vec<String> = state.names.keys().chain(state.synced_names.keys()).cloned().collect();
         for name in names {
             let (live, synced) = (state.names.get(&name).copied(), state.synced_names.get(&name).copied());
-            let kept = if below(2) == 0 { live } else { synced };
+            let kept = if random_below(2) == 0 { live } else { synced };
             match kept {
                 Some(node) => state.names.insert(name.clone(), node),
                 None => state.names.remove(&name),
@@ -122,13 +122,13 @@
         for node in &mut state.nodes {
             let synced = node.synced.len();
             if node.current.starts_with(&node.synced) {
-                let kept = below(node.current.len() - synced + 1);
+                let kept = random_below(node.current.len() - synced + 1);
                 node.current.truncate(synced + kept);
-                if kept > 0 && below(2) == 0 {
-                    let hole = synced + below(kept);
+                if kept > 0 && random_below(2) == 0 {
+                    let hole = synced + random_below(kept);
                     node.current[hole..].fill(0);
                 }
-            } else if below(2) == 0 {
+            } else if random_below(2) == 0 {
                 node.current.clone_from(&node.synced);
             }
             node.synced.clone_from(&node.current);
@@ -141,9 +141,9 @@
         self.names.values().map(|node| self.nodes[*node].current.len()).sum()
     }
 
-    fn operate(&mut self) -> io::Result<()> {
-        let left = self.alive_for.checked_sub(1).ok_or(io::ErrorKind::Other)?;
-        self.alive_for = if self.alive_for == usize::MAX { usize::MAX } else { left };
+    fn count_operation(&mut self) -> io::Result<()> {
+        let left = self.operations_left.checked_sub(1).ok_or(io::ErrorKind::Other)?;
+        self.operations_left = if self.operations_left == usize::MAX { usize::MAX } else { left };
         Ok(())
     }
 
@@ -164,7 +164,7 @@
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.operate()?;
+        state.count_operation()?;
         state.nodes.push(Node::default());
         let node = state.nodes.len() - 1;
         state.names.insert(name.to_owned(), node);
@@ -173,16 +173,16 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.state();
-        state.operate()?;
-        let room = state.limit.saturating_sub(state.used());
-        let taken = bytes.len().min(room);
-        state.node(name)?.current.extend_from_slice(&bytes[..taken]);
-        if taken < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        state.count_operation()?;
+        let free = state.limit.saturating_sub(state.used());
+        let written = bytes.len().min(free);
+        state.node(name)?.current.extend_from_slice(&bytes[..written]);
+        if written < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.operate()?;
+        state.count_operation()?;
         state.syncs += 1;
         let node = state.node(name)?;
         node.synced.clone_from(&node.current);
@@ -191,14 +191,14 @@
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut state = self.state();
-        state.operate()?;
+        state.count_operation()?;
         state.node(name)?.current.truncate(usize::try_from(length).unwrap());
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.operate()?;
+        state.count_operation()?;
         let node = state.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         state.names.insert(to.to_owned(), node);
         Ok(())
@@ -206,13 +206,13 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.operate()?;
+        state.count_operation()?;
         state.names.remove(name).map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
         let mut state = self.state();
-        state.operate()?;
+        state.count_operation()?;
         state.synced_names = state.names.clone();
         Ok(())
     }
--- a/agatetrestle/src/agreement/storage/tests/random.rs
+++ b/agatetrestle/src/agreement/storage/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random writes, snapshots, full disks and crashes at any operation, against a model of what must last.
+//! Random writes, snapshots, full disks and crashes, compared with a model of the durable state.
 
 use proptest::prelude::*;
 
@@ -17,21 +17,21 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Appends entries after dropping some from the end.
-    Append { dropped: u64, added: u64 },
-    /// A new term and vote.
+    /// Truncates the log and appends entries.
+    Append { truncated: u64, added: u64 },
+    /// Stores a new term and vote.
     Vote,
-    /// A snapshot of all but the last entries.
+    /// Saves a snapshot of all but the last entries.
     Snapshot { kept: u64 },
-    /// So much room is left on the disk.
-    Room(usize),
-    /// So many more operations work before the power goes.
-    Dying(usize),
-    /// The power goes.
+    /// Limits the free space in bytes.
+    LimitSpace(usize),
+    /// Makes the disk fail after a number of operations.
+    FailAfter(usize),
+    /// Simulates a power loss with a seed.
     Crash(u64),
 }
 
-/// What the storage must know.
+/// Expected state of the storage.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model {
     state: HardState,
@@ -52,7 +52,7 @@
         self.entries.extend_from_slice(&write.entries);
     }
 
-    fn cover(&mut self, index: u64) {
+    fn compact(&mut self, index: u64) {
         self.entries.retain(|entry| entry.position.index > index);
         self.covered = index;
     }
@@ -65,26 +65,26 @@
     }
 }
 
-struct Run {
+struct TestRun {
     disk: MemoryDisk,
     storage: Option<Storage>,
-    /// What was acknowledged.
+    /// Acknowledged state.
     model: Model,
-    /// What else may last, since a write failed.
-    attempted: Vec<Model>,
+    /// Other states that may be durable after a failed write.
+    unacknowledged: Vec<Model>,
 }
 
-impl Run {
+impl TestRun {
     fn new() -> Self {
         let disk = MemoryDisk::default();
         let storage = open(&disk).ok().map(|(storage, _)| storage);
-        Self { disk, storage, model: Model::default(), attempted: Vec::new() }
+        Self { disk, storage, model: Model::default(), unacknowledged: Vec::new() }
     }
 
     fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match step {
-            Step::Append { dropped, added } => {
-                let first = (self.model.last() + 1).saturating_sub(*dropped).max(self.model.covered + 1);
+            Step::Append { truncated, added } => {
+                let first = (self.model.last() + 1).saturating_sub(*truncated).max(self.model.covered + 1);
                 let term = self.model.state.term;
                 let entries = (first..first + added).map(|index| entry(term, index)).collect();
                 self.write(Write { truncate_from: Some(first), entries, ..Write::default() })?;
@@ -98,8 +98,8 @@
                 self.write(Write { hard_state, ..Write::default() })?;
             }
             Step::Snapshot { kept } => self.snapshot(*kept)?,
-            Step::Room(bytes) => self.disk.limit(self.disk.used() + bytes),
-            Step::Dying(operations) => self.disk.die_after(*operations),
+            Step::LimitSpace(bytes) => self.disk.set_limit(self.disk.used() + bytes),
+            Step::FailAfter(operations) => self.disk.fail_after(*operations),
             Step::Crash(seed) => self.crash(*seed)?,
         }
         Ok(())
@@ -109,7 +109,7 @@
         let mut after = self.model.clone();
         after.write(&write);
         let outcome = self.storage.as_mut().expect("open").write(&[write]);
-        self.settle(after, outcome.is_ok())
+        self.record_outcome(after, outcome.is_ok())
     }
 
     fn snapshot(&mut self, kept: u64) -> Result<(), TestCaseError> {
@@ -118,19 +118,19 @@
             return Ok(());
         }
         let mut after = self.model.clone();
-        after.cover(index);
+        after.compact(index);
         let outcome = self.storage.as_mut().expect("open").save_snapshot(&snapshot(1, index));
-        self.settle(after, outcome.is_ok())
+        self.record_outcome(after, outcome.is_ok())
     }
 
-    fn settle(&mut self, after: Model, done: bool) -> Result<(), TestCaseError> {
-        if done {
+    fn record_outcome(&mut self, after: Model, succeeded: bool) -> Result<(), TestCaseError> {
+        if succeeded {
             self.model = after;
             return Ok(());
         }
-        let voted = Model { state: after.state, ..self.model.clone() };
-        self.attempted = vec![after, voted];
-        self.disk.limit(usize::MAX);
+        let only_state = Model { state: after.state, ..self.model.clone() };
+        self.unacknowledged = vec![after, only_state];
+        self.disk.set_limit(usize::MAX);
         self.reopen()
     }
 
@@ -140,28 +140,28 @@
         self.reopen()
     }
 
-    /// Opens the storage again, as the driver does after a failure and after a crash.
+    /// Reopens the storage and checks the restored state, as the driver does after failures and crashes.
     fn reopen(&mut self) -> Result<(), TestCaseError> {
         self.storage = None;
-        self.disk.revive();
+        self.disk.clear_failure();
         let (storage, restored) = open(&self.disk).map_err(|error| TestCaseError::fail(error.to_string()))?;
         let found = Model::from(restored);
-        let allowed = found == self.model || self.attempted.contains(&found);
+        let allowed = found == self.model || self.unacknowledged.contains(&found);
         prop_assert!(allowed, "found {found:?}, acknowledged {:?}", self.model);
         self.storage = Some(storage);
         self.model = found;
-        self.attempted.clear();
+        self.unacknowledged.clear();
         Ok(())
     }
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        6 => (0..4_u64, 1..6_u64).prop_map(|(dropped, added)| Step::Append { dropped, added }),
+        6 => (0..4_u64, 1..6_u64).prop_map(|(truncated, added)| Step::Append { truncated, added }),
         2 => Just(Step::Vote),
         2 => (0..8_u64).prop_map(|kept| Step::Snapshot { kept }),
-        1 => (0..200_usize).prop_map(Step::Room),
-        2 => (0..12_usize).prop_map(Step::Dying),
+        1 => (0..200_usize).prop_map(Step::LimitSpace),
+        2 => (0..12_usize).prop_map(Step::FailAfter),
         2 => any::<u64>().prop_map(Step::Crash),
     ];
     prop::collection::vec(step, 1..60)
@@ -170,7 +170,7 @@
 #[test]
 fn acknowledged_writes_survive_crashes_and_full_disks() {
     let outcome = seeded("storage", 2_000).run(&steps(), |steps| {
-        let mut run = Run::new();
+        let mut run = TestRun::new();
         for step in &steps {
             run.step(step)?;
         }
