--- a/agatetrestle/src/transport/accept.rs
+++ b/agatetrestle/src/transport/accept.rs
@@ -1,4 +1,4 @@
-//! Acceptance of connections within a bound, for every server of a process.
+//! Accepts connections up to a limit, for all servers of a process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,18 +9,17 @@
 use smol::net::TcpListener;
 use smol::net::TcpStream;
 
-/// Pause after a connection that could not be accepted, such as when no file descriptor is left; without it the
-/// loop would take the whole thread until one is.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed accept, so that the loop does not spin while no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Counts the open connections of one server.
+/// Limits the open connections of one server.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimiter {
-    of: &'static str,
+    peer: &'static str,
     open: Rc<Cell<usize>>,
 }
 
-/// A connection that counts until this is dropped.
+/// Counts one connection as open until it is dropped.
 #[derive(Debug)]
 pub struct ConnectionPermit(Rc<Cell<usize>>);
 
@@ -31,41 +30,41 @@
 }
 
 impl ConnectionLimiter {
-    /// A gate with no connection open; `of` names in the logs who connects.
+    /// Creates a limiter without open connections; `peer` names the connecting side in the logs.
     #[must_use]
-    pub fn new(of: &'static str) -> Self {
-        Self { of, open: Rc::default() }
+    pub fn new(peer: &'static str) -> Self {
+        Self { peer, open: Rc::default() }
     }
 
-    /// Connections that are open now.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// The next connection, closing those beyond `most` that are open at once. The bound is read for each, since
-    /// it may change while this waits.
+    /// Returns the next connection, closing those that exceed the limit. `max_connections` is called for each
+    /// connection, since the limit may change meanwhile.
     pub async fn accept(
         &self,
         listener: &TcpListener,
-        most: impl Fn() -> usize,
+        max_connections: impl Fn() -> usize,
     ) -> (TcpStream, ConnectionPermit) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) if self.open_connections() < most() => {
+                Ok((stream, _)) if self.open_connections() < max_connections() => {
                     self.open.set(self.open.get() + 1);
                     return (stream, ConnectionPermit(self.open.clone()));
                 }
                 Ok(_) => {
                     warn!(
-                        "A connection of {} was closed because {} are open.",
-                        self.of,
+                        "Rejected a connection from {} because {} are open.",
+                        self.peer,
                         self.open_connections()
                     );
                 }
                 Err(failure) => {
-                    warn!("A connection of {} could not be accepted: {failure}.", self.of);
-                    Timer::after(PAUSE).await;
+                    warn!("Failed to accept a connection from {}: {failure}.", self.peer);
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
--- a/agatetrestle/src/transport/body.rs
+++ b/agatetrestle/src/transport/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer: all there at once, or a stream whose end says whether it is whole.
+//! Bodies of HTTP responses, either buffered or streamed.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -11,24 +11,24 @@
 use hyper::body::SizeHint;
 use snafu::Snafu;
 
-/// The answer ends here without being whole; the connection is closed so that the caller sees it.
+/// The body ended early; the connection is closed so that the client notices.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer broke off"))]
+#[snafu(display("response body truncated"))]
 pub struct TruncatedBody;
 
-/// Stream of a body, ended by the end of the stream if it is whole and by [`TruncatedBody`] if not.
+/// Chunks of a body; an incomplete body ends with [`TruncatedBody`].
 pub type BodyStream = Pin<Box<dyn Stream<Item = Result<Bytes, TruncatedBody>>>>;
 
-/// The body of an answer.
+/// The body of a response.
 pub enum ResponseBody {
-    /// All of it.
+    /// A buffered body, `None` if it is empty or already sent.
     Full(Option<Bytes>),
-    /// In pieces; with its length where that is known.
+    /// A streamed body, with its length if known.
     Stream(BodyStream, Option<u64>),
 }
 
 impl ResponseBody {
-    /// A body that is all there.
+    /// Creates a buffered body.
     #[must_use]
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
@@ -46,7 +46,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match self.get_mut() {
             Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Stream(pieces, _) => pieces.as_mut().poll_next(cx).map_ok(Frame::data),
+            Self::Stream(chunks, _) => chunks.as_mut().poll_next(cx).map_ok(Frame::data),
         }
     }
 
--- a/agatetrestle/src/transport/client.rs
+++ b/agatetrestle/src/transport/client.rs
@@ -1,7 +1,7 @@
-//! Connections to HTTP servers, kept for the next request to the same server.
+//! HTTP client with a pool of connections to each server.
 //!
-//! A connection belongs to one request at a time. It is closed by dropping it, which is how a request is taken back
-//! whose caller has gone, and it is kept only after an answer that left it in a known state.
+//! A connection carries one request at a time. Dropping it closes it, which cancels a request, and it returns to the
+//! pool only after a response that was read to its end.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -31,133 +31,137 @@
 use crate::clock::Timestamp;
 use crate::node::peer_link::with_deadline;
 
-/// Time for a connection to be made; servers in other failure domains are 1.5 ms away and take 1 ms for it, and an
-/// opening packet that was dropped is sent again only after a second.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Idle time after which a connection is not used for a request that may run once only: it may have gone silent, and what
-/// was sent on it can't be sent again. It also bounds the idle time where a server does not say when it closes.
+/// Shorter than the one second after which a lost SYN is retransmitted.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Longest idle time of a connection for a request that must not be sent twice: the server may have closed it. Also the
+/// idle timeout for servers that announce none.
 pub const RECENT_IDLE_LIMIT: Duration = Duration::from_millis(1_500);
-/// Part of the time after which a server says that it closes an idle connection, in hundredths, for which it is kept: its
-/// clock began before ours, and a request must not cross its close.
-const KEPT_PERCENT: u32 = 60;
-/// Longest idle time of a connection, whatever a server says; each costs memory here and a place there.
-const LONGEST_IDLE: Duration = Duration::from_secs(10);
-/// Connections kept for one server. Servers take a few hundred from all nodes together.
-const KEPT: usize = 6;
-/// Largest head of an answer.
-const HEAD: usize = 64 << 10;
-
-/// Why a request has no answer.
+/// Share of the announced keep-alive timeout for which a connection is pooled. The server starts to count earlier, and a
+/// request must not race with its close.
+const KEEP_ALIVE_PERCENT: u32 = 60;
+/// Upper bound on the idle timeout that a server announces.
+const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_IDLE_PER_SERVER: usize = 6;
+const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
+
+/// Why a request has no response.
 #[derive(Debug, Snafu)]
 pub enum SendError {
     /// Nothing was sent.
     #[snafu(display("can't connect: {reason}"))]
     Connect {
-        /// What stood in the way.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The request was sent, at least in part.
+    /// The request was sent, at least in part, so it may have run.
     #[snafu(display("no answer: {source}"))]
     NoResponse {
-        /// What the library found.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: Task<()>,
-    since: Timestamp,
-    until: Timestamp,
+    idle_since: Timestamp,
+    expires_at: Timestamp,
 }
 
-/// How long ago a connection may have been used last.
+/// Which idle connections a request may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReusePolicy {
-    /// A moment ago, for what may be sent once only.
+    /// Only recently used ones, for requests that must not be sent twice.
     RecentOnly,
-    /// As long as the server keeps it.
+    /// All that have not expired.
     Any,
 }
 
-/// A connection that carries one request.
+/// A connection that is reserved for one request.
 pub struct PooledConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: Task<()>,
     address: SocketAddrV4,
-    /// Whether it carried a request before.
+    /// Whether the connection was idle in the pool before.
     pub reused: bool,
 }
 
-/// Connections to servers.
+/// HTTP/1.1 client that pools connections by server address.
 pub struct HttpClient {
-    idle: RefCell<HashMap<SocketAddrV4, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
     executor: std::rc::Weak<LocalExecutor<'static>>,
     clock: Clock,
-    made: Cell<u64>,
+    opened: Cell<u64>,
 }
 
 impl HttpClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(executor: &Rc<LocalExecutor<'static>>, clock: Clock) -> Rc<Self> {
         let idle = RefCell::default();
-        Rc::new(Self { idle, executor: Rc::downgrade(executor), clock, made: Cell::new(0) })
+        Rc::new(Self { idle, executor: Rc::downgrade(executor), clock, opened: Cell::new(0) })
     }
 
-    /// Connections made since the start.
+    /// Returns the number of connections opened so far.
     #[must_use]
     pub fn connections_opened(&self) -> u64 {
-        self.made.get()
+        self.opened.get()
     }
 
-    /// A connection to a server, kept or new; `reuse` says how old a kept one may be.
+    /// Returns an idle connection that `reuse` allows, or opens one.
     ///
     /// # Errors
     ///
-    /// Fails only before anything was sent.
+    /// [`SendError::Connect`] if no connection could be opened.
     pub async fn acquire(
         &self,
         address: SocketAddrV4,
         reuse: ReusePolicy,
     ) -> Result<PooledConnection, SendError> {
-        if let Some(Idle { sender, driver, .. }) = self.take(address, reuse) {
+        if let Some(IdleConnection { sender, driver, .. }) = self.take_idle(address, reuse) {
             return Ok(PooledConnection { sender, driver, address, reused: true });
         }
         self.connect(address).await
     }
 
-    fn take(&self, address: SocketAddrV4, reuse: ReusePolicy) -> Option<Idle> {
+    fn take_idle(&self, address: SocketAddrV4, reuse: ReusePolicy) -> Option<IdleConnection> {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
-        kept.retain(|connection| connection.is_open(now));
-        // The one used last goes first, so that the others grow old and are closed.
-        let newest = kept.last()?;
-        let usable = reuse == ReusePolicy::Any || now.since(newest.since) < RECENT_IDLE_LIMIT;
-        if usable { kept.pop() } else { None }
+        let pooled = idle.get_mut(&address)?;
+        pooled.retain(|connection| connection.is_open(now));
+        // Reuses the newest connection first, so that surplus ones expire.
+        let newest = pooled.last()?;
+        let usable = reuse == ReusePolicy::Any || now.since(newest.idle_since) < RECENT_IDLE_LIMIT;
+        if usable { pooled.pop() } else { None }
     }
 
     async fn connect(&self, address: SocketAddrV4) -> Result<PooledConnection, SendError> {
-        let refused = |reason: &dyn std::fmt::Display| SendError::Connect { reason: reason.to_string() };
-        let connecting = with_deadline(CONNECT, TcpStream::connect(SocketAddr::V4(address))).await;
-        let stream = connecting.ok_or_else(|| refused(&"no connection in time"))?.map_err(|f| refused(&f))?;
-        stream.set_nodelay(true).map_err(|failure| refused(&failure))?;
-        let handshake = http1::Builder::new().max_buf_size(HEAD).handshake(FuturesIo::new(stream)).await;
-        let (sender, connection) = handshake.map_err(|failure| refused(&failure))?;
+        let connect_error =
+            |reason: &dyn std::fmt::Display| SendError::Connect { reason: reason.to_string() };
+        let connecting = with_deadline(CONNECT_TIMEOUT, TcpStream::connect(SocketAddr::V4(address))).await;
+        let stream = connecting
+            .ok_or_else(|| connect_error(&"connection timed out"))?
+            .map_err(|f| connect_error(&f))?;
+        stream.set_nodelay(true).map_err(|failure| connect_error(&failure))?;
+        let handshake = http1::Builder::new()
+            .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
+            .handshake(FuturesIo::new(stream))
+            .await;
+        let (sender, connection) = handshake.map_err(|failure| connect_error(&failure))?;
         let Some(executor) = self.executor.upgrade() else {
-            return Err(refused(&"the process is stopping"));
+            return Err(connect_error(&"the process is stopping"));
         };
         let driver = executor.spawn(async move {
             if let Err(failure) = connection.await {
-                debug!("A connection to {address} ended: {failure}.");
+                debug!("Connection to {address} failed: {failure}.");
             }
         });
-        self.made.set(self.made.get() + 1);
+        self.opened.set(self.opened.get() + 1);
         Ok(PooledConnection { sender, driver, address, reused: false })
     }
 
-    /// Keeps a connection for the next request. Only one whose answer was read to its end may be kept.
+    /// Returns a connection to the pool, unless the response closes it or the pool is full. The response
+    /// must have been read to its end.
     pub fn release(&self, connection: PooledConnection, headers: &HeaderMap) {
         let closes =
             headers.get(CONNECTION).is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
@@ -166,58 +170,60 @@
         }
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(connection.address).or_default();
-        if kept.len() < KEPT {
-            let until = now + idle_bound(headers);
-            kept.push(Idle { sender: connection.sender, driver: connection.driver, since: now, until });
+        let pooled = idle.entry(connection.address).or_default();
+        if pooled.len() < MAX_IDLE_PER_SERVER {
+            let expires_at = now + idle_timeout(headers);
+            let PooledConnection { sender, driver, .. } = connection;
+            pooled.push(IdleConnection { sender, driver, idle_since: now, expires_at });
         }
     }
 
-    /// Closes the connections kept for an address, since who listened there is gone.
+    /// Closes the idle connections to an address whose server is gone.
     pub fn close_idle(&self, address: SocketAddrV4) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes connections that grew old. Called now and then.
+    /// Closes expired idle connections. Called periodically.
     pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
-        for kept in idle.values_mut() {
-            kept.retain(|connection| connection.is_open(now));
+        for pooled in idle.values_mut() {
+            pooled.retain(|connection| connection.is_open(now));
         }
-        idle.retain(|_, kept| !kept.is_empty());
+        idle.retain(|_, pooled| !pooled.is_empty());
     }
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_open(&self, now: Timestamp) -> bool {
-        self.sender.is_ready() && !self.driver.is_finished() && now < self.until
+        self.sender.is_ready() && !self.driver.is_finished() && now < self.expires_at
     }
 }
 
-/// How long a connection may be idle, by what the server says in whole seconds of when it closes.
-pub(super) fn idle_bound(headers: &HeaderMap) -> Duration {
-    let told = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-    let seconds = told.and_then(|told| {
-        let named = told.split(',').filter_map(|part| part.trim().split_once('='));
-        named
+/// Returns how long a connection may stay idle, from the `timeout` in seconds of the `keep-alive` header.
+pub(super) fn idle_timeout(headers: &HeaderMap) -> Duration {
+    let keep_alive = headers.get("keep-alive").and_then(|value| value.to_str().ok());
+    let seconds = keep_alive.and_then(|keep_alive| {
+        let parameters = keep_alive.split(',').filter_map(|part| part.trim().split_once('='));
+        parameters
             .filter(|(name, _)| name.trim().eq_ignore_ascii_case("timeout"))
             .find_map(|(_, value)| value.trim().parse().ok())
     });
-    let bound = seconds.map(|seconds| Duration::from_secs(seconds).min(LONGEST_IDLE) * KEPT_PERCENT / 100);
-    bound.unwrap_or(RECENT_IDLE_LIMIT)
+    let timeout =
+        seconds.map(|seconds| Duration::from_secs(seconds).min(MAX_IDLE_TIMEOUT) * KEEP_ALIVE_PERCENT / 100);
+    timeout.unwrap_or(RECENT_IDLE_LIMIT)
 }
 
 impl PooledConnection {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// [`SendError::Connect`] if the connection turned out to be closed before anything was written, else
+    /// [`SendError::Connect`] if the connection was closed before anything was written, otherwise
     /// [`SendError::NoResponse`].
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendError> {
         self.sender.try_send_request(request).await.map_err(|mut failure| match failure.take_message() {
-            Some(_) => SendError::Connect { reason: "the connection was closed meanwhile".into() },
+            Some(_) => SendError::Connect { reason: "the idle connection was closed".into() },
             None => SendError::NoResponse { source: failure.into_error() },
         })
     }
--- a/agatetrestle/src/transport/mod.rs
+++ b/agatetrestle/src/transport/mod.rs
@@ -1,12 +1,12 @@
-//! HTTP as every part of a deployment speaks it: one server and one client on top of `hyper`.
+//! HTTP/1.1 server and client on top of `hyper`, used by all processes of a deployment.
 //!
-//! Why `hyper` stands here and not `async-h1`: docs/design/012-a-deployment-of-three-roles.md.
+//! Why `hyper` and not `async-h1`: docs/design/012-a-deployment-of-three-roles.md.
 
 pub mod accept;
 pub mod body;
 pub mod client;
+mod connection_state;
 pub mod observed;
 pub mod server;
 #[cfg(test)]
 mod tests;
-mod watch;
--- a/agatetrestle/src/transport/observed.rs
+++ b/agatetrestle/src/transport/observed.rs
@@ -1,4 +1,4 @@
-//! A connection on which someone counts what is read.
+//! A TCP stream that reports its reads to an observer.
 
 use std::io;
 use std::pin::Pin;
@@ -9,30 +9,30 @@
 use futures::AsyncWrite;
 use smol::net::TcpStream;
 
-/// Counts what is read from a connection, and may bound it.
+/// Observes the reads of a connection and may limit them.
 pub trait ReadObserver {
-    /// How many bytes may be read now; none ends the connection for its reader.
+    /// Returns how many bytes may be read next; 0 appears to the reader as the end of the stream.
     fn max_read(&self) -> usize {
         usize::MAX
     }
 
-    /// Takes in that bytes were read; none at the end.
+    /// Called after each read; `count` is 0 at the end of the stream.
     fn on_read(&self, count: usize);
 }
 
-/// A connection with its tap.
+/// A stream with an observer of its reads.
 #[derive(Clone)]
 pub struct ObservedStream<T> {
-    /// The connection.
+    /// The underlying stream.
     pub stream: TcpStream,
-    /// What counts.
+    /// The observer of reads.
     pub observer: T,
 }
 
 impl<T: ReadObserver + Unpin> AsyncRead for ObservedStream<T> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
-        let room = buf.len().min(self.observer.max_read());
-        let read = Pin::new(&mut self.stream).poll_read(cx, &mut buf[..room]);
+        let limit = buf.len().min(self.observer.max_read());
+        let read = Pin::new(&mut self.stream).poll_read(cx, &mut buf[..limit]);
         if let Poll::Ready(Ok(count)) = &read {
             self.observer.on_read(*count);
         }
--- a/agatetrestle/src/transport/server.rs
+++ b/agatetrestle/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves HTTP/1.1 on them, within limits.
+//! HTTP/1.1 server with limits on its connections.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -26,37 +26,37 @@
 
 use crate::transport::accept::ConnectionLimiter;
 use crate::transport::body::ResponseBody;
+use crate::transport::connection_state::ConnectionState;
+use crate::transport::connection_state::TrackedBody;
 use crate::transport::observed::ObservedStream;
-use crate::transport::watch::Watch;
-use crate::transport::watch::Watched;
 
-/// Pause before an address is bound again that is still held, such as by a process that has just ended.
-const BIND_PAUSE: Duration = Duration::from_millis(50);
-/// How often a connection looks whether it should end; a planned stop and the bound on heads are seconds.
-const LOOK: Duration = Duration::from_secs(1);
-/// Least size of the buffer that a request head must fit; the library takes no smaller one.
-const LEAST_HEAD: usize = 8_192;
+/// Delay before an attempt to bind is repeated, for example while a stopping process still holds the address.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Interval at which a connection checks for shutdown and late request heads.
+const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Smallest read buffer that `hyper` accepts.
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
-/// Answers one request; dropped if the caller goes away.
+/// Handles one request; the future is dropped if the client disconnects.
 pub type Handler = Rc<dyn Fn(Request<Incoming>) -> LocalBoxFuture<'static, Response<ResponseBody>>>;
 
-/// Limits on callers, changed while the server runs.
+/// Limits on connections and requests, changeable while the server runs.
 #[derive(Debug)]
 pub struct ServerLimits {
     /// Largest request head in bytes.
     pub max_head_bytes: Cell<usize>,
-    /// Time for a request head to arrive, from its first byte on.
+    /// Time limit for a request head, from its first byte.
     pub head_timeout: Cell<Duration>,
-    /// Time for which a connection may stay without a whole request head.
+    /// Time limit for a connection without a complete request head.
     pub idle_timeout: Cell<Duration>,
-    /// Connections open at once.
+    /// Largest number of open connections.
     pub max_connections: Cell<usize>,
-    /// Set once connections are to end after the answer under way.
+    /// Set to close each connection after its current response.
     pub shutting_down: Cell<bool>,
 }
 
 impl ServerLimits {
-    /// Limits for callers that are not ours.
+    /// Creates the default limits for connections from outside the deployment.
     #[must_use]
     pub fn new(connections: usize) -> Rc<Self> {
         Rc::new(Self {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Listens on an address, waiting while it is still held.
+/// Listens on an address, retrying until it can be bound.
 pub async fn listen(address: SocketAddrV4) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
@@ -78,14 +78,14 @@
                 return listener;
             }
             Err(failure) => {
-                warn!("Can't listen on {address} yet: {failure}.");
-                Timer::after(BIND_PAUSE).await;
+                warn!("Failed to listen on {address}, retrying: {failure}.");
+                Timer::after(BIND_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Serves until the task is dropped.
+/// Serves connections until the task is dropped.
 pub async fn serve(
     listener: TcpListener,
     handler: Handler,
@@ -109,36 +109,36 @@
 
 async fn serve_connection(stream: TcpStream, handler: Handler, limits: Rc<ServerLimits>) {
     if let Err(failure) = stream.set_nodelay(true) {
-        debug!("A connection could not be set up: {failure}.");
+        debug!("Failed to set up a connection: {failure}.");
         return;
     }
-    let watch = Watch::new();
-    let watching = watch.clone();
+    let state = ConnectionState::new();
+    let service_state = state.clone();
     let service = service_fn(move |request| {
-        let (answer, answering) = (handler(request), watching.answer());
+        let (response, guard) = (handler(request), service_state.begin_response());
         async move {
-            let answer = answer.await;
-            Ok::<_, Infallible>(answer.map(|body| Watched { body, _answering: answering }))
+            let response = response.await;
+            Ok::<_, Infallible>(response.map(|body| TrackedBody { body, _guard: guard }))
         }
     });
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
-        // The library counts idle time on a connection as time for the next head; a slow head is found below.
+        // `hyper` counts the idle time before a head too, so slow heads are detected by the check below.
         .header_read_timeout(limits.idle_timeout.get())
-        .max_buf_size(limits.max_head_bytes.get().max(LEAST_HEAD))
-        .serve_connection(FuturesIo::new(ObservedStream { stream, observer: watch.clone() }), service);
+        .max_buf_size(limits.max_head_bytes.get().max(MIN_HEAD_BUFFER_BYTES))
+        .serve_connection(FuturesIo::new(ObservedStream { stream, observer: state.clone() }), service);
     let mut connection = std::pin::pin!(connection);
     loop {
-        match select(connection.as_mut(), Timer::after(LOOK)).await {
+        match select(connection.as_mut(), Timer::after(CONNECTION_CHECK_INTERVAL)).await {
             Either::Left((outcome, _)) => {
                 if let Err(failure) = outcome {
-                    debug!("A connection of a caller ended: {failure}.");
+                    debug!("A connection ended: {failure}.");
                 }
                 return;
             }
             Either::Right(_) if limits.shutting_down.get() => break,
-            Either::Right(_) if watch.head_is_late(limits.head_timeout.get()) => {
-                debug!("A connection was closed whose request head came too slowly.");
+            Either::Right(_) if state.head_is_late(limits.head_timeout.get()) => {
+                debug!("Closed a connection: its request head did not arrive in time.");
                 return;
             }
             Either::Right(_) => {}
@@ -146,6 +146,6 @@
     }
     connection.as_mut().graceful_shutdown();
     if let Err(failure) = connection.await {
-        debug!("A connection of a caller ended: {failure}.");
+        debug!("A connection ended: {failure}.");
     }
 }
--- a/agatetrestle/src/transport/tests.rs
+++ b/agatetrestle/src/transport/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the HTTP server and client against peers that misbehave.
+//! Tests of the HTTP server and client against misbehaving peers.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -28,7 +28,7 @@
 use crate::transport::client::RECENT_IDLE_LIMIT;
 use crate::transport::client::ReusePolicy;
 use crate::transport::client::SendError;
-use crate::transport::client::idle_bound;
+use crate::transport::client::idle_timeout;
 use crate::transport::server;
 use crate::transport::server::ServerLimits;
 
@@ -47,8 +47,8 @@
     }
 }
 
-/// A server that reads one head, writes these bytes and closes, once for each.
-async fn scripted(executor: &Spawner, scripts: Vec<&'static [u8]>) -> SocketAddrV4 {
+/// Starts a server that answers one request with each script and closes the connection after it.
+async fn serve_scripts(executor: &Spawner, scripts: Vec<&'static [u8]>) -> SocketAddrV4 {
     let (listener, address) = bind().await;
     let serving = async move {
         for script in scripts {
@@ -67,7 +67,7 @@
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
-        assert_eq!(stream.read(&mut byte).await.unwrap(), 1, "the head is whole");
+        assert_eq!(stream.read(&mut byte).await.unwrap(), 1, "the request head is complete");
         head.push(byte[0]);
     }
     head
@@ -77,60 +77,60 @@
     Request::get("/").header("host", "test").body(Full::new(Bytes::from_static(body))).unwrap()
 }
 
-/// What a client makes of an answer: its body, or none if it is not whole.
-async fn body_of(executor: &Spawner, script: &'static [u8]) -> Option<Bytes> {
-    let address = scripted(executor, vec![script]).await;
+/// Returns the body that the client reads from a scripted response, or `None` if it reports an error.
+async fn read_body(executor: &Spawner, script: &'static [u8]) -> Option<Bytes> {
+    let address = serve_scripts(executor, vec![script]).await;
     let client = HttpClient::new(executor, Clock::start());
     let mut connection = client.acquire(address, ReusePolicy::Any).await.unwrap();
-    let answer = connection.send(get(b"")).await.ok()?;
-    answer.into_body().collect().await.ok().map(http_body_util::Collected::to_bytes)
+    let response = connection.send(get(b"")).await.ok()?;
+    response.into_body().collect().await.ok().map(http_body_util::Collected::to_bytes)
 }
 
 #[test]
-fn a_body_that_is_cut_short_is_told_from_a_whole_one() {
+fn detects_truncated_bodies() {
     run(|executor| async move {
-        let whole = body_of(&executor, b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nabcd").await;
-        assert_eq!(whole.as_deref(), Some(&b"abcd"[..]));
-        assert_eq!(body_of(&executor, b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nabc").await, None);
+        let complete = read_body(&executor, b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nabcd").await;
+        assert_eq!(complete.as_deref(), Some(&b"abcd"[..]));
+        assert_eq!(read_body(&executor, b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nabc").await, None);
         let chunked = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n";
-        assert_eq!(body_of(&executor, chunked).await.as_deref(), Some(&b"ab"[..]));
+        assert_eq!(read_body(&executor, chunked).await.as_deref(), Some(&b"ab"[..]));
         let endless = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nab\r\n";
-        assert_eq!(body_of(&executor, endless).await, None);
-        let unframed = body_of(&executor, b"HTTP/1.1 200 OK\r\n\r\nabc").await;
-        assert_eq!(unframed.as_deref(), Some(&b"abc"[..]), "it ends with its connection");
-        assert_eq!(body_of(&executor, b"no answer in the protocol\r\n\r\n").await, None);
+        assert_eq!(read_body(&executor, endless).await, None);
+        let unframed = read_body(&executor, b"HTTP/1.1 200 OK\r\n\r\nabc").await;
+        assert_eq!(unframed.as_deref(), Some(&b"abc"[..]), "the end of the connection ends the body");
+        assert_eq!(read_body(&executor, b"no answer in the protocol\r\n\r\n").await, None);
     });
 }
 
 #[test]
-fn bytes_beyond_an_answer_end_the_connection() {
+fn closes_connections_with_excess_response_bytes() {
     run(|executor| async move {
         const TWO: &[u8] =
             b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb";
-        let address = scripted(&executor, vec![TWO, b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nc"]).await;
+        let address =
+            serve_scripts(&executor, vec![TWO, b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nc"]).await;
         let client = HttpClient::new(&executor, Clock::start());
-        let mut answers = Vec::new();
+        let mut bodies = Vec::new();
         for _ in 0..2 {
-            // A kept connection that is found closed is no failure: nothing was sent on it.
-            let answer = loop {
+            // A pooled connection may turn out to be closed before anything was sent.
+            let (connection, response) = loop {
                 let mut connection = client.acquire(address, ReusePolicy::Any).await.unwrap();
                 match connection.send(get(b"")).await {
-                    Ok(answer) => break (connection, answer),
+                    Ok(response) => break (connection, response),
                     Err(SendError::Connect { .. }) => {}
                     Err(failure) => panic!("{failure}"),
                 }
             };
-            let (connection, answer) = answer;
-            let (head, body) = answer.into_parts();
-            answers.push(body.collect().await.unwrap().to_bytes());
+            let (head, body) = response.into_parts();
+            bodies.push(body.collect().await.unwrap().to_bytes());
             client.release(connection, &head.headers);
         }
-        assert_eq!(answers, [&b"a"[..], &b"c"[..]], "the second answer belongs to no request");
+        assert_eq!(bodies, [&b"a"[..], &b"c"[..]], "the excess response must not answer the next request");
     });
 }
 
 #[test]
-fn an_answer_may_come_before_the_body_was_read() {
+fn accepts_responses_before_the_request_body_is_read() {
     run(|executor| async move {
         static LONG: [u8; 1 << 20] = [7; 1 << 20];
         let (listener, address) = bind().await;
@@ -147,56 +147,56 @@
         let serving = executor.spawn(serving);
         let client = HttpClient::new(&executor, Clock::start());
         let mut connection = client.acquire(address, ReusePolicy::Any).await.unwrap();
-        let answer = connection.send(get(&LONG)).await.unwrap();
-        assert_eq!(answer.status(), 413);
+        let response = connection.send(get(&LONG)).await.unwrap();
+        assert_eq!(response.status(), 413);
         tx.send(()).await.unwrap();
-        assert_eq!(serving.await, LONG, "what is due of the body comes, and nothing else");
+        assert_eq!(serving.await, LONG, "the server receives exactly the request body");
     });
 }
 
-/// Says when it is dropped.
-struct Dropped(Sender<()>);
+/// Sends a message when it is dropped.
+struct DropNotifier(Sender<()>);
 
-impl Drop for Dropped {
+impl Drop for DropNotifier {
     fn drop(&mut self) {
-        // The test may have ended already.
+        // The receiver is gone if the test has ended.
         let _ = self.0.try_send(());
     }
 }
 
 #[test]
-fn a_request_is_dropped_when_its_caller_leaves() {
+fn drops_requests_of_disconnected_clients() {
     run(|executor| async move {
         let (listener, address) = bind().await;
         let (tx, rx) = smol::channel::bounded(1);
-        let (begun_tx, begun_rx) = smol::channel::bounded(1);
+        let (started_tx, started_rx) = smol::channel::bounded(1);
         let handler: server::Handler = Rc::new(move |_| {
-            let (guard, begun) = (Dropped(tx.clone()), begun_tx.clone());
+            let (guard, started) = (DropNotifier(tx.clone()), started_tx.clone());
             Box::pin(async move {
                 let _guard = guard;
-                begun.send(()).await.unwrap();
+                started.send(()).await.unwrap();
                 futures::future::pending::<Response<ResponseBody>>().await
             })
         });
         let serving = server::serve(listener, handler, ServerLimits::new(8), Rc::downgrade(&executor));
         executor.spawn(serving).detach();
-        let mut caller = TcpStream::connect(std::net::SocketAddr::V4(address)).await.unwrap();
-        caller.write_all(b"GET / HTTP/1.1\r\nhost: test\r\n\r\n").await.unwrap();
-        begun_rx.recv().await.unwrap();
-        assert!(rx.recv().now_or_never().is_none(), "it waits for its answer");
-        drop(caller);
+        let mut client = TcpStream::connect(std::net::SocketAddr::V4(address)).await.unwrap();
+        client.write_all(b"GET / HTTP/1.1\r\nhost: test\r\n\r\n").await.unwrap();
+        started_rx.recv().await.unwrap();
+        assert!(rx.recv().now_or_never().is_none(), "the request is still being handled");
+        drop(client);
         rx.recv().await.unwrap();
     });
 }
 
 #[test]
-fn what_is_no_request_gets_a_4xx_or_a_closed_connection() {
+fn rejects_malformed_requests_with_4xx_or_close() {
     run(|executor| async move {
         let (listener, address) = bind().await;
-        let taken: Rc<RefCell<Vec<String>>> = Rc::default();
-        let noting = taken.clone();
+        let received: Rc<RefCell<Vec<String>>> = Rc::default();
+        let paths = received.clone();
         let handler: server::Handler = Rc::new(move |request| {
-            noting.borrow_mut().push(request.uri().path().into());
+            paths.borrow_mut().push(request.uri().path().into());
             Box::pin(async { Response::new(ResponseBody::full("ok")) })
         });
         executor
@@ -206,20 +206,20 @@
         for bad in
             ["no request at all\r\n\r\n", "GET /\r\n\r\n", "GET / HTTP/1.1\r\nbad header\r\n\r\n", &long]
         {
-            let mut caller = TcpStream::connect(std::net::SocketAddr::V4(address)).await.unwrap();
-            // The server may close before it has read all.
-            let _ = caller.write_all(bad.as_bytes()).await;
-            let mut answer = Vec::new();
-            let _ = caller.read_to_end(&mut answer).await;
-            let text = String::from_utf8_lossy(&answer);
-            assert!(answer.is_empty() || text.starts_with("HTTP/1.1 4"), "{text}");
+            let mut client = TcpStream::connect(std::net::SocketAddr::V4(address)).await.unwrap();
+            // The server may close the connection before it has read everything.
+            let _ = client.write_all(bad.as_bytes()).await;
+            let mut response = Vec::new();
+            let _ = client.read_to_end(&mut response).await;
+            let text = String::from_utf8_lossy(&response);
+            assert!(response.is_empty() || text.starts_with("HTTP/1.1 4"), "{text}");
         }
-        assert!(taken.borrow().is_empty(), "none of it was taken for a request");
+        assert!(received.borrow().is_empty(), "no malformed request reaches the handler");
     });
 }
 
 #[test]
-fn a_slow_head_ends_its_connection_and_an_idle_one_stays() {
+fn closes_slow_request_heads_but_not_idle_connections() {
     run(|executor| async move {
         let (listener, address) = bind().await;
         let handler: server::Handler =
@@ -232,19 +232,19 @@
         let mut idle = TcpStream::connect(address).await.unwrap();
         let mut slow = TcpStream::connect(address).await.unwrap();
         slow.write_all(b"GET / HT").await.unwrap();
-        let mut answer = Vec::new();
-        // How the connection ends does not matter.
-        let _ = slow.read_to_end(&mut answer).await;
-        assert!(answer.is_empty(), "there is no answer to half a head");
+        let mut response = Vec::new();
+        // The connection may be closed or reset.
+        let _ = slow.read_to_end(&mut response).await;
+        assert!(response.is_empty(), "an incomplete head gets no response");
         idle.write_all(b"GET / HTTP/1.1\r\nhost: test\r\n\r\n").await.unwrap();
-        let mut answer = [0; 12];
-        idle.read_exact(&mut answer).await.unwrap();
-        assert_eq!(&answer, b"HTTP/1.1 200");
+        let mut response = [0; 12];
+        idle.read_exact(&mut response).await.unwrap();
+        assert_eq!(&response, b"HTTP/1.1 200");
     });
 }
 
 #[test]
-fn connections_beyond_the_bound_are_closed_and_an_ended_one_frees_its_place() {
+fn closes_connections_over_the_limit() {
     run(|_| async move {
         let (listener, address) = bind().await;
         let address = std::net::SocketAddr::V4(address);
@@ -258,12 +258,12 @@
         let closed = async {
             let _ = third.read_to_end(&mut end).await;
         };
-        let admitting = limiter.accept(&listener, || 2);
-        // The gate never admits the third; it is polled so that it closes it.
-        assert!(matches!(select(pin!(admitting), pin!(closed)).await, Either::Right(_)));
+        let accepting = limiter.accept(&listener, || 2);
+        // The limiter never accepts the third connection, but must be polled to close it.
+        assert!(matches!(select(pin!(accepting), pin!(closed)).await, Either::Right(_)));
         drop(first);
         drop(second);
-        assert_eq!(limiter.open_connections(), 0, "both places are free again");
+        assert_eq!(limiter.open_connections(), 0, "dropped permits free their connections");
         let (_fourth, _fifth) = (connect().await.unwrap(), connect().await.unwrap());
         let _fourth = limiter.accept(&listener, || 2).await;
         let _fifth = limiter.accept(&listener, || 2).await;
@@ -272,15 +272,15 @@
 }
 
 #[test]
-fn a_connection_is_kept_for_a_part_of_what_the_server_says() {
-    let bound = |value: &'static str| {
+fn pools_connections_for_part_of_the_keep_alive_timeout() {
+    let timeout_ms = |value: &'static str| {
         let mut headers = http::HeaderMap::new();
         headers.insert("keep-alive", http::HeaderValue::from_static(value));
-        idle_bound(&headers).as_millis()
+        idle_timeout(&headers).as_millis()
     };
-    let told = ["timeout=10", "max=5, Timeout = 3", "timeout=3600", "timeout=0"];
-    assert_eq!(told.map(bound), [6_000, 1_800, 6_000, 0]);
-    let untold = ["", "max=5", "timeout=soon", "timeout=-1", "timeout=1.5"];
-    assert!(untold.map(bound).iter().all(|bound| *bound == RECENT_IDLE_LIMIT.as_millis()));
-    assert_eq!(idle_bound(&http::HeaderMap::new()), RECENT_IDLE_LIMIT);
+    let valid = ["timeout=10", "max=5, Timeout = 3", "timeout=3600", "timeout=0"];
+    assert_eq!(valid.map(timeout_ms), [6_000, 1_800, 6_000, 0]);
+    let invalid = ["", "max=5", "timeout=soon", "timeout=-1", "timeout=1.5"];
+    assert!(invalid.map(timeout_ms).iter().all(|timeout| *timeout == RECENT_IDLE_LIMIT.as_millis()));
+    assert_eq!(idle_timeout(&http::HeaderMap::new()), RECENT_IDLE_LIMIT);
 }
