--- a/agatetrestle/src/deployment/control.rs
+++ b/agatetrestle/src/deployment/control.rs
@@ -1,4 +1,4 @@
-//! A control replica: what is in force, who is there, and which backend servers the platform lists.
+//! A control replica holds the configuration, the cluster membership and the platform's list of backend servers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,12 +21,12 @@
 use crate::codec::encode;
 use crate::control::command::ControlCommand;
 use crate::control::state::ControlState;
-use crate::deployment::Frame;
+use crate::deployment::ProcessContext;
 use crate::deployment::REQUEST_TIMEOUTS;
+use crate::deployment::backend_list;
 use crate::deployment::directory;
-use crate::deployment::listing;
 use crate::deployment::operators;
-use crate::deployment::replicated::Replicated;
+use crate::deployment::replica_process::ReplicaProcess;
 use crate::deployment::serve_http;
 use crate::deployment::timing;
 use crate::ids::CONTROL_GROUP;
@@ -40,66 +40,66 @@
 use crate::node::service::GroupService;
 use crate::transport::server::ServerLimits;
 
-/// How often a control replica looks who has gone silent.
-const REFRESH: Duration = Duration::from_millis(200);
-/// How often it looks whether somebody leads while nobody does.
-const ELECTION_POLL: Duration = Duration::from_millis(10);
-/// Time for which the same number of stores must be there before the state groups are founded, so that those that start
-/// at the same time all take part.
-const SETTLE: Duration = Duration::from_secs(1);
-/// Stores for each state group beyond its voters, so that a lost voter finds a successor that belongs to no other group.
-const SPARE_STORES: usize = 1;
-/// Log bytes after which a snapshot is taken. The state is one table of routes.
-const SNAPSHOT_AFTER: usize = 4 << 20;
-/// Connections of operators, and of callers that ask for addresses.
-const CONNECTIONS: usize = 1_024;
+/// How often a control replica checks which members have stopped reporting.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
+/// How often a control replica checks for a leader while there is none.
+const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time for which the number of stores must not change before the state groups are founded, so that stores that start
+/// together all take part.
+const FOUNDING_SETTLE_TIME: Duration = Duration::from_secs(1);
+/// Stores for each state group beyond its voters, so that a lost voter can be replaced by one without a group.
+const SPARE_STORES_PER_GROUP: usize = 1;
+/// Log bytes after which a snapshot is taken.
+const SNAPSHOT_THRESHOLD_BYTES: usize = 4 << 20;
+/// Connections of operators and of callers that look up addresses.
+const MAX_CONTROL_CONNECTIONS: usize = 1_024;
 
-pub(super) async fn start(frame: &Frame) -> Result<Replicated<ControlState>, NodeError> {
-    let group = open(frame).await?;
-    let member = Member { ready: true, ..frame.member() };
-    let registry = ClusterRegistry::new(&member, group.clone(), frame.links.clone(), frame.clock);
-    let desk: Rc<dyn GroupService> = Rc::new(ControlService {
+pub(super) async fn start(context: &ProcessContext) -> Result<ReplicaProcess<ControlState>, NodeError> {
+    let group = open(context).await?;
+    let member = Member { ready: true, ..context.member() };
+    let registry = ClusterRegistry::new(&member, group.clone(), context.links.clone(), context.clock);
+    let service: Rc<dyn GroupService> = Rc::new(ControlService {
         group: group.clone(),
         registry: registry.clone(),
-        min_stores: frame.quorum_base(),
+        min_stores: context.replication_factor(),
     });
     let mut server = PeerServer { reports: Some(registry.clone()), ..PeerServer::default() };
-    let receiving = group.clone();
-    server.handlers.insert(CONTROL_GROUP, Rc::new(move |message| receiving.receive(message)));
-    server.services.insert(CONTROL_GROUP, desk.clone());
-    frame.serve_peers(server);
-    let subscriber = frame.subscriber(Rc::new(move || member.clone().into()), Some(registry.clone()));
-    let links = frame.links.clone();
+    let receiver = group.clone();
+    server.handlers.insert(CONTROL_GROUP, Rc::new(move |message| receiver.receive(message)));
+    server.services.insert(CONTROL_GROUP, service.clone());
+    context.serve_peers(server);
+    let subscriber = context.subscriber(Rc::new(move || member.clone().into()), Some(registry.clone()));
+    let links = context.links.clone();
     let router =
-        Router::new(CONTROL_GROUP, frame.node, Some(desk), links, &[], frame.clock, REQUEST_TIMEOUTS);
+        Router::new(CONTROL_GROUP, context.node, Some(service), links, &[], context.clock, REQUEST_TIMEOUTS);
     let router = Rc::new(router);
-    spawn_upkeep(frame, &group, &registry, &router);
-    let limits = ServerLimits::new(CONNECTIONS);
-    let handler = operators::handler(frame.wire.clone(), router);
-    serve_http(frame, frame.settings.listen.operators, handler, limits.clone());
-    let handler = directory::handler(frame.wire.clone(), registry, frame.settings.bounds.address_max_age);
-    serve_http(frame, frame.settings.listen.directory, handler, limits);
-    Ok(Replicated { group, subscriber })
+    spawn_background_tasks(context, &group, &registry, &router);
+    let limits = ServerLimits::new(MAX_CONTROL_CONNECTIONS);
+    let handler = operators::handler(context.wire.clone(), router);
+    serve_http(context, context.settings.listen.operators, handler, limits.clone());
+    let handler = directory::handler(context.wire.clone(), registry, context.settings.bounds.address_max_age);
+    serve_http(context, context.settings.listen.directory, handler, limits);
+    Ok(ReplicaProcess { group, subscriber })
 }
 
-/// Waits for the next refresh. While there is no leader it checks often, and wakes held reports once there is one.
+/// Waits for the next refresh, and wakes the held reports at each change of leadership before it.
 async fn wait_for_change(group: &Group<ControlState>, registry: &ClusterRegistry) {
-    let mut left = REFRESH;
-    while !left.is_zero() {
-        let led = (group.leads(), group.leader());
-        // A replica that was just elected leads once a majority has answered it.
-        let settled = led.1.is_some_and(|leader| led.0 || !group.is_local(leader));
-        let pause = if settled { left } else { ELECTION_POLL.min(left) };
-        Timer::after(pause).await;
-        left = left.saturating_sub(pause);
-        if (group.leads(), group.leader()) != led {
+    let mut remaining = REFRESH_INTERVAL;
+    while !remaining.is_zero() {
+        let leadership = (group.leads(), group.leader());
+        // A newly elected replica leads once a majority has answered it.
+        let settled = leadership.1.is_some_and(|leader| leadership.0 || !group.is_local(leader));
+        let delay = if settled { remaining } else { LEADER_POLL_INTERVAL.min(remaining) };
+        Timer::after(delay).await;
+        remaining = remaining.saturating_sub(delay);
+        if (group.leads(), group.leader()) != leadership {
             registry.wake();
         }
     }
 }
 
-fn spawn_upkeep(
-    frame: &Frame,
+fn spawn_background_tasks(
+    context: &ProcessContext,
     group: &Rc<Group<ControlState>>,
     registry: &Rc<ClusterRegistry>,
     router: &Rc<Router>,
@@ -108,101 +108,107 @@
         let registry = registry.clone();
         Rc::new(move || registry.candidates(Role::Control))
     };
-    let wanted = VoterCounts { target: usize::MAX, min: frame.quorum_base() };
-    frame.executor.spawn(repair::repair_forever(group.clone(), candidates, wanted)).detach();
-    let listing = listing::Listing {
-        wire: frame.wire.clone(),
-        settings: frame.settings.backend_list,
+    let wanted = VoterCounts { target: usize::MAX, min: context.replication_factor() };
+    context.executor.spawn(repair::repair_forever(group.clone(), candidates, wanted)).detach();
+    let poller = backend_list::BackendListPoller {
+        wire: context.wire.clone(),
+        settings: context.settings.backend_list,
         group: group.clone(),
         registry: registry.clone(),
-        clock: frame.clock,
-        recorder: frame.metrics.clone(),
-        executor: frame.executor.clone(),
+        clock: context.clock,
+        recorder: context.metrics.clone(),
+        executor: context.executor.clone(),
     };
-    frame.executor.spawn(listing.run()).detach();
-    frame
+    context.executor.spawn(poller.run()).detach();
+    context
         .executor
-        .spawn(found(group.clone(), registry.clone(), router.clone(), frame.quorum_base()))
+        .spawn(found_state_groups(
+            group.clone(),
+            registry.clone(),
+            router.clone(),
+            context.replication_factor(),
+        ))
         .detach();
     let (group, registry, router) = (group.clone(), registry.clone(), router.clone());
-    let (links, view) = (frame.links.clone(), frame.view.clone());
+    let (links, view) = (context.links.clone(), context.view.clone());
     let refreshing = async move {
         loop {
-            // A follower that can't reach the leader goes on with the last list: some address is better than none.
+            // A follower that can't reach the leader keeps the last list: stale addresses are better than none.
             registry.adopt_members(&view.members());
             registry.refresh();
             let voters: Vec<NodeId> = group.replicas().voters.into_iter().collect();
             router.set_holders(&voters);
-            super::learn_control(&links, &view);
+            super::update_control_addresses(&links, &view);
             wait_for_change(&group, &registry).await;
         }
     };
-    frame.executor.spawn(refreshing).detach();
+    context.executor.spawn(refreshing).detach();
 }
 
-/// Names the first voters of the state groups once enough stores have been there for a while.
-async fn found(
+/// Proposes the initial voters of the state groups once enough stores are up and their number is stable.
+async fn found_state_groups(
     group: Rc<Group<ControlState>>,
     registry: Rc<ClusterRegistry>,
     router: Rc<Router>,
-    wanted: usize,
+    group_size: usize,
 ) {
-    let mut settled_for = Duration::ZERO;
-    let mut known = 0;
+    let mut stable_for = Duration::ZERO;
+    let mut previous = 0;
     loop {
-        Timer::after(REFRESH).await;
+        Timer::after(REFRESH_INTERVAL).await;
         if !group.machine(|state| state.initial_voters().is_empty()) {
             return;
         }
         let stores = registry.candidates(Role::Store);
-        let same = std::mem::replace(&mut known, stores.len()) == stores.len();
-        if !group.leads() || stores.len() < wanted || !same {
-            settled_for = Duration::ZERO;
+        let unchanged = std::mem::replace(&mut previous, stores.len()) == stores.len();
+        if !group.leads() || stores.len() < group_size || !unchanged {
+            stable_for = Duration::ZERO;
             continue;
         }
-        settled_for += REFRESH;
-        if settled_for < SETTLE {
+        stable_for += REFRESH_INTERVAL;
+        if stable_for < FOUNDING_SETTLE_TIME {
             continue;
         }
-        let groups = founders(stores, wanted);
-        info!("The state groups are founded by {groups:?}.");
+        let groups = initial_voters(stores, group_size);
+        info!("Founding the state groups with initial voters {groups:?}.");
         let request = ControlRequest::Command(ControlCommand::Found { groups });
-        if let Err(failure) = router.submit(encode(&request)).await {
-            warn!("The state groups could not be founded yet: {failure}.");
+        if let Err(error) = router.submit(encode(&request)).await {
+            warn!("Failed to found the state groups, will retry: {error}.");
         }
     }
 }
 
-/// The first voters of as many groups as the stores can carry with some to spare. Each group has one leader, which bounds
-/// how many turns it takes, and a store takes part in one group, whose turns may fill its memory.
-pub(super) fn founders(mut stores: Vec<Candidate>, wanted: usize) -> Vec<BTreeSet<NodeId>> {
-    let count = (stores.len() / (wanted + SPARE_STORES)).clamp(1, MAX_STATE_GROUPS);
-    (0..count).map(|_| spread(&mut stores, wanted)).collect()
+/// Chooses the initial voters of as many groups as there are stores for, spare ones included. A store takes part in one
+/// group only, since the turns of a group may fill its memory.
+pub(super) fn initial_voters(mut stores: Vec<Candidate>, group_size: usize) -> Vec<BTreeSet<NodeId>> {
+    let count = (stores.len() / (group_size + SPARE_STORES_PER_GROUP)).clamp(1, MAX_STATE_GROUPS);
+    (0..count).map(|_| take_spread(&mut stores, group_size)).collect()
 }
 
-/// Takes out as many stores as are wanted, from as many failure domains as possible.
-fn spread(left: &mut Vec<Candidate>, wanted: usize) -> BTreeSet<NodeId> {
+/// Removes up to `count` stores from the list, spread over as many failure domains as possible.
+fn take_spread(stores: &mut Vec<Candidate>, count: usize) -> BTreeSet<NodeId> {
     let mut chosen: Vec<Candidate> = Vec::new();
-    while chosen.len() < wanted && !left.is_empty() {
+    while chosen.len() < count && !stores.is_empty() {
         let used = |zone: &str| chosen.iter().filter(|store| &*store.zone == zone).count();
-        let next = (0..left.len()).min_by_key(|at| (used(&left[*at].zone), left[*at].node)).unwrap_or(0);
-        chosen.push(left.swap_remove(next));
+        let next =
+            (0..stores.len()).min_by_key(|at| (used(&stores[*at].zone), stores[*at].node)).unwrap_or(0);
+        chosen.push(stores.swap_remove(next));
     }
     chosen.into_iter().map(|store| store.node).collect()
 }
 
-async fn open(frame: &Frame) -> Result<Rc<Group<ControlState>>, NodeError> {
-    let (storage, timing) = (frame.storage(SNAPSHOT_AFTER), timing());
-    let opener = frame.opener(&storage, &timing);
-    let port = frame.settings.process.peer_port;
+async fn open(context: &ProcessContext) -> Result<Rc<Group<ControlState>>, NodeError> {
+    let (storage, timing) = (context.storage(SNAPSHOT_THRESHOLD_BYTES), timing());
+    let opener = context.opener(&storage, &timing);
+    let port = context.settings.process.peer_port;
     let founders: Vec<NodeId> =
-        frame.settings.seeds.iter().map(|seed| identity::founder_id(*seed.ip())).collect();
-    for seed in &frame.settings.seeds {
+        context.settings.seeds.iter().map(|seed| identity::founder_id(*seed.ip())).collect();
+    for seed in &context.settings.seeds {
         let address = SocketAddr::from((*seed.ip(), port));
-        frame.links.add_address(identity::founder_id(*seed.ip()), address);
+        context.links.add_address(identity::founder_id(*seed.ip()), address);
     }
-    let founds = frame.settings.founding && founders.contains(&frame.node);
-    let missing = if founds { MissingFiles::Bootstrap } else { MissingFiles::Join };
+    let is_founder = context.settings.founding && founders.contains(&context.node);
+    let missing = if is_founder { MissingFiles::Bootstrap } else { MissingFiles::Join };
     let replica = opener.open(CONTROL_GROUP, ControlState::default(), &founders, missing).await?;
     replica.driver.detach();
     Ok(replica.group)
--- a/agatetrestle/src/deployment/directory.rs
+++ b/agatetrestle/src/deployment/directory.rs
@@ -1,4 +1,4 @@
-//! Answers callers that ask which address to use; docs/design/010-addresses-without-a-balancer.md.
+//! Answers address lookups of callers; see docs/design/010-addresses-without-a-balancer.md.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -15,27 +15,25 @@
 use crate::transport::body::ResponseBody;
 use crate::transport::server::Handler;
 
-/// For how long callers are told to keep an answer. Some keep it three times as long, and a planned stop has to wait for
-/// those within its grace of 8 s.
-pub(super) const MAX_AGE: Duration = Duration::from_secs(1);
-/// Most addresses in one answer.
-const MOST: usize = 64;
-/// Entries of the caller's own failure domain that suffice, so that the loss of one leaves another.
-const ENOUGH: usize = 2;
+/// Time for which callers may cache an answer. An entry that stops waits for caches to expire, within its grace period.
+pub(super) const ADDRESS_MAX_AGE: Duration = Duration::from_secs(1);
+const MAX_ADDRESSES: usize = 64;
+/// Callers stay in their failure domain if it has this many ready entries, so that the loss of one leaves another.
+const MIN_LOCAL_ENTRIES: usize = 2;
 
-pub(super) fn handler(wire: Rc<dyn WireFormat>, registry: Rc<ClusterRegistry>, bound: Duration) -> Handler {
+pub(super) fn handler(wire: Rc<dyn WireFormat>, registry: Rc<ClusterRegistry>, max_age: Duration) -> Handler {
     Rc::new(move |request| {
         let response = match wire.read_lookup(request.uri()) {
-            None => empty(StatusCode::NOT_FOUND),
+            None => empty_response(StatusCode::NOT_FOUND),
             Some(lookup) => {
                 let addresses = addresses(&registry.members(), &lookup.zone);
                 if addresses.is_empty() {
-                    empty(StatusCode::SERVICE_UNAVAILABLE)
+                    empty_response(StatusCode::SERVICE_UNAVAILABLE)
                 } else {
-                    let body = wire.write_addresses(&addresses, MAX_AGE.min(bound));
+                    let body = wire.write_addresses(&addresses, ADDRESS_MAX_AGE.min(max_age));
                     let mut response = Response::new(ResponseBody::full(body));
-                    let media = http::HeaderValue::from_static("application/json");
-                    response.headers_mut().insert(CONTENT_TYPE, media);
+                    let content_type = http::HeaderValue::from_static("application/json");
+                    response.headers_mut().insert(CONTENT_TYPE, content_type);
                     response
                 }
             }
@@ -44,17 +42,17 @@
     })
 }
 
-fn empty(status: StatusCode) -> Response<ResponseBody> {
+fn empty_response(status: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::full(""));
     *response.status_mut() = status;
     response
 }
 
-/// The entries that take requests: those of the caller's failure domain if they are enough, else all.
+/// Addresses of the ready entries in the caller's failure domain if there are enough, else of all ready entries.
 pub(super) fn addresses(members: &[Member], zone: &str) -> Vec<SocketAddrV4> {
     let entries: Vec<&Member> =
         members.iter().filter(|member| member.role == Role::Entry && member.ready).collect();
-    let near: Vec<&Member> = entries.iter().copied().filter(|entry| &*entry.zone == zone).collect();
-    let chosen = if near.len() >= ENOUGH { near } else { entries };
-    chosen.into_iter().filter_map(|entry| entry.callers).take(MOST).collect()
+    let local: Vec<&Member> = entries.iter().copied().filter(|entry| &*entry.zone == zone).collect();
+    let chosen = if local.len() >= MIN_LOCAL_ENTRIES { local } else { entries };
+    chosen.into_iter().filter_map(|entry| entry.callers).take(MAX_ADDRESSES).collect()
 }
--- a/agatetrestle/src/deployment/entry.rs
+++ b/agatetrestle/src/deployment/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: everything it knows is soft, so that it can be lost at any time.
+//! An entry serves callers. All its state is soft, so an entry can be lost at any time.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,14 +18,14 @@
 use crate::cluster::view::ClusterView;
 use crate::cluster::view::Watcher;
 use crate::control::command::Document;
-use crate::deployment::Frame;
+use crate::deployment::ProcessContext;
 use crate::deployment::REQUEST_TIMEOUTS;
 use crate::deployment::RunningRole;
-use crate::deployment::directory::MAX_AGE;
+use crate::deployment::directory::ADDRESS_MAX_AGE;
 use crate::deployment::serve_http;
-use crate::deployment::turns::RouteParts;
-use crate::deployment::turns::TurnPort;
-use crate::deployment::turns::TurnRoute;
+use crate::deployment::turns::RoutedTurnClient;
+use crate::deployment::turns::TurnRouter;
+use crate::deployment::turns::TurnRouterParts;
 use crate::dispatch::Dispatch;
 use crate::dispatch::Instance;
 use crate::gateway::Gateway;
@@ -37,17 +37,17 @@
 use crate::transport::server::Handler;
 use crate::transport::server::ServerLimits;
 
-/// Share of the memory that bodies of requests may take at once, as a divisor.
-const BODY_SHARE: usize = 4;
-/// Descriptors kept for connections to backend servers, to our own processes and for files.
-const OWN_DESCRIPTORS: u64 = 1_200;
-/// Connections of the platform's own checks.
-const CHECKS: usize = 64;
-/// Some callers keep an address three times as long as they are told.
-const KEPT_FACTOR: u32 = 3;
-/// Time that is left before the end of the grace, so that the process ends by itself.
+/// Request bodies may take up to the memory limit divided by this.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// File descriptors reserved for connections to backend servers and to other processes, and for files.
+const RESERVED_DESCRIPTORS: u64 = 1_200;
+/// Bound on the connections of readiness probes, and the lowest bound on those of callers.
+const MIN_CONNECTIONS: usize = 64;
+/// Callers may cache an address for this many times its max age.
+const STALE_ADDRESS_FACTOR: u32 = 3;
+/// The process exits this long before the end of the grace period, at which it would be killed.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
-const STOP_POLL: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(super) struct Entry {
     gateway: Rc<Gateway>,
@@ -57,10 +57,10 @@
     grace: Duration,
 }
 
-/// Passes on what the view learns.
+/// Applies changes of the cluster view to the gateway and the turn router.
 struct EntryWatcher {
     gateway: Rc<Gateway>,
-    turns: Rc<TurnRoute>,
+    turns: Rc<TurnRouter>,
     view: Rc<ClusterView>,
 }
 
@@ -85,54 +85,55 @@
     }
 }
 
-pub(super) fn start(frame: &Frame) -> Entry {
-    let links = frame.links.clone();
-    let turns = TurnRoute::new(RouteParts {
-        node: frame.node,
+pub(super) fn start(context: &ProcessContext) -> Entry {
+    let links = context.links.clone();
+    let turns = TurnRouter::new(TurnRouterParts {
+        node: context.node,
         links,
-        clock: frame.clock,
+        clock: context.clock,
         timeouts: REQUEST_TIMEOUTS,
     });
-    let sockets = frame.settings.limits.descriptors.saturating_sub(OWN_DESCRIPTORS);
-    let limits = ServerLimits::new(usize::try_from(sockets).unwrap_or(usize::MAX).max(CHECKS));
+    let max_connections = context.settings.limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+    let limits =
+        ServerLimits::new(usize::try_from(max_connections).unwrap_or(usize::MAX).max(MIN_CONNECTIONS));
     let gateway = Gateway::new(GatewayParts {
-        wire: frame.wire.clone(),
-        turns: Rc::new(TurnPort(turns.clone())),
-        dispatch: Dispatch::new(frame.settings.process.failure_domain.clone(), frame.node.0)
-            .with_policy(frame.settings.decisions),
-        seed: frame.node.0,
-        clock: frame.clock,
+        wire: context.wire.clone(),
+        turns: Rc::new(RoutedTurnClient(turns.clone())),
+        dispatch: Dispatch::new(context.settings.process.failure_domain.clone(), context.node.0)
+            .with_policy(context.settings.decisions),
+        seed: context.node.0,
+        clock: context.clock,
         limits: limits.clone(),
-        body_buffer_bytes: frame.memory() / BODY_SHARE,
-        recorder: frame.metrics.clone(),
-        executor: frame.executor.clone(),
+        body_buffer_bytes: context.memory_bytes() / BODY_MEMORY_DIVISOR,
+        recorder: context.metrics.clone(),
+        executor: context.executor.clone(),
     });
-    frame.executor.spawn(gateway.clone().run()).detach();
-    frame.view.watch(Rc::new(EntryWatcher { gateway: gateway.clone(), turns, view: frame.view.clone() }));
-    frame.serve_peers(PeerServer::default());
-    let (introduced, member) = (gateway.clone(), frame.member());
-    let introduce = Rc::new(move || Member { ready: introduced.is_ready(), ..member.clone() }.into());
-    let subscriber = frame.subscriber(introduce, None);
-    serve_callers(frame, &gateway, &limits);
-    serve_readiness(frame, &gateway);
-    let grace = frame.settings.bounds.stop_grace;
-    Entry { gateway, subscriber, limits, clock: frame.clock, grace }
+    context.executor.spawn(gateway.clone().run()).detach();
+    context.view.watch(Rc::new(EntryWatcher { gateway: gateway.clone(), turns, view: context.view.clone() }));
+    context.serve_peers(PeerServer::default());
+    let (ready_source, member) = (gateway.clone(), context.member());
+    let status_source = Rc::new(move || Member { ready: ready_source.is_ready(), ..member.clone() }.into());
+    let subscriber = context.subscriber(status_source, None);
+    serve_callers(context, &gateway, &limits);
+    serve_readiness(context, &gateway);
+    let grace = context.settings.bounds.stop_grace;
+    Entry { gateway, subscriber, limits, clock: context.clock, grace }
 }
 
-fn serve_callers(frame: &Frame, gateway: &Rc<Gateway>, limits: &Rc<ServerLimits>) {
+fn serve_callers(context: &ProcessContext, gateway: &Rc<Gateway>, limits: &Rc<ServerLimits>) {
     let gateway = gateway.clone();
     let handler: Handler = Rc::new(move |request| {
         let gateway = gateway.clone();
         Box::pin(async move { gateway.handle(request).await })
     });
-    serve_http(frame, frame.settings.listen.callers, handler, limits.clone());
+    serve_http(context, context.settings.listen.callers, handler, limits.clone());
 }
 
-fn serve_readiness(frame: &Frame, gateway: &Rc<Gateway>) {
-    let (gateway, wire) = (gateway.clone(), frame.wire.clone());
+fn serve_readiness(context: &ProcessContext, gateway: &Rc<Gateway>) {
+    let (gateway, wire) = (gateway.clone(), context.wire.clone());
     let handler: Handler = Rc::new(move |request| {
-        let known = wire.is_readiness_probe(request.uri());
-        let status = match (known, gateway.is_ready()) {
+        let is_probe = wire.is_readiness_probe(request.uri());
+        let status = match (is_probe, gateway.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -141,7 +142,7 @@
         *response.status_mut() = status;
         Box::pin(async move { response })
     });
-    serve_http(frame, frame.settings.listen.readiness, handler, ServerLimits::new(CHECKS));
+    serve_http(context, context.settings.listen.readiness, handler, ServerLimits::new(MIN_CONNECTIONS));
 }
 
 impl RunningRole for Entry {
@@ -149,23 +150,27 @@
         &self.subscriber
     }
 
-    /// Goes on to serve until no caller can still have its address, then until nothing is under way.
+    /// Serves until no caller can still have the address cached, then until no request is in flight.
     fn stop(&self) -> LocalBoxFuture<'_, ()> {
         Box::pin(async move {
             self.gateway.start_draining();
             let started = self.clock.now();
-            let aged = MAX_AGE * KEPT_FACTOR;
-            let most = self.grace.saturating_sub(GRACE_MARGIN);
+            let address_expiry = ADDRESS_MAX_AGE * STALE_ADDRESS_FACTOR;
+            let time_limit = self.grace.saturating_sub(GRACE_MARGIN);
             loop {
-                Timer::after(STOP_POLL).await;
-                let since = self.clock.now().since(started);
-                self.limits.shutting_down.set(since >= aged);
-                let idle = self.gateway.in_flight() == 0 && since >= aged + STOP_POLL * 20;
+                Timer::after(STOP_POLL_INTERVAL).await;
+                let elapsed = self.clock.now().since(started);
+                self.limits.shutting_down.set(elapsed >= address_expiry);
+                let idle =
+                    self.gateway.in_flight() == 0 && elapsed >= address_expiry + STOP_POLL_INTERVAL * 20;
                 if idle {
                     return;
                 }
-                if since >= most {
-                    warn!("{} requests are cut off at the end of the grace.", self.gateway.in_flight());
+                if elapsed >= time_limit {
+                    warn!(
+                        "The grace period ends with {} requests in flight; dropping them.",
+                        self.gateway.in_flight()
+                    );
                     return;
                 }
             }
--- a/agatetrestle/src/deployment/mod.rs
+++ b/agatetrestle/src/deployment/mod.rs
@@ -1,14 +1,14 @@
-//! The struct that owns one process of a deployment: an entry, a control replica or a store.
+//! Runs one process of a deployment: an entry, a control replica or a store.
 //!
-//! docs/design/012-a-deployment-of-three-roles.md tells who keeps what and what is done when something is lost.
+//! docs/design/012-a-deployment-of-three-roles.md describes the state that each role holds and how it recovers.
 
+mod backend_list;
 mod control;
 mod directory;
 mod entry;
-mod listing;
 mod operators;
 mod overview;
-mod replicated;
+mod replica_process;
 mod store;
 #[cfg(test)]
 mod tests;
@@ -64,53 +64,51 @@
 use crate::transport::server::ServerLimits;
 use crate::transport::server::listen;
 
-/// Bound on connecting to another process and on each call without a bound of its own. Domains are 1.5 ms apart and a
-/// commit takes some 10 ms, so a process that needs longer is gone, frozen or cut off.
-const PEER_CALL: Duration = Duration::from_millis(600);
-/// How long one try at a group's leader lasts, and all tries together. A new leader is there about a second after
-/// one was lost.
+/// Timeout of connecting to another process, and of each call that sets no timeout of its own.
+const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeouts of one attempt to reach a group's leader and of all attempts together, which outlast an election.
 const REQUEST_TIMEOUTS: RequestTimeouts =
     RequestTimeouts { attempt: Duration::from_millis(400), request: Duration::from_millis(1_800) };
-/// Size of a log segment; a snapshot frees whole ones.
-const SEGMENT: u64 = 4 << 20;
-/// Time without a confirmed update after which the settings are read again, since the seeds may have changed.
+/// Size of a log segment; a snapshot frees whole segments.
+const LOG_SEGMENT_BYTES: u64 = 4 << 20;
+/// Time without a confirmed update after which the settings are reloaded, since the seeds may have changed.
 const CONTROL_LOST_AFTER: Duration = Duration::from_secs(2);
 
 /// Why a process can't start.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The signals of the operating system can't be had.
-    #[snafu(display("no signals can be received: {source}"))]
+    /// The signal handlers can't be installed.
+    #[snafu(display("failed to install the signal handlers: {source}"))]
     Signals {
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The number of the process can't be kept.
-    #[snafu(display("the number of the process can't be kept in {}: {source}", folder.display()))]
-    Number {
-        /// The data folder.
+    /// The node id can't be generated, read or written.
+    #[snafu(display("failed to load or create the node id in {}: {source}", folder.display()))]
+    NodeId {
+        /// The data folder, or the source of random numbers.
         folder: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The metrics can't be set up.
-    #[snafu(display("the metrics can't be set up: {source}"))]
-    Measures {
-        /// What the library said.
+    /// The metrics can't be initialized.
+    #[snafu(display("failed to initialize the metrics: {source}"))]
+    Metrics {
+        /// Error of the metrics library.
         source: MetricsError,
     },
     /// A replica can't be opened.
     #[snafu(display("{source}"))]
     Replica {
-        /// What is wrong with it.
+        /// Error of opening it.
         source: NodeError,
     },
 }
 
-/// What every role is built from.
-pub(crate) struct Frame {
+/// Settings and services that every role is started with.
+pub(crate) struct ProcessContext {
     settings: Deployment,
-    file: PathBuf,
+    settings_path: PathBuf,
     wire: Rc<dyn WireFormat>,
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
@@ -120,77 +118,77 @@
     metrics: Rc<Metrics>,
 }
 
-/// Runs the process of a settings file until a signal asks it to stop.
+/// Runs the process that the settings describe until it receives `SIGTERM` or `SIGINT`; `SIGHUP` reloads the seeds.
 ///
 /// # Errors
 ///
 /// Fails if the process can't start.
 pub async fn run(
-    file: &Path,
+    settings_path: &Path,
     settings: Deployment,
     wire: Rc<dyn WireFormat>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), StartError> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).context(SignalsSnafu)?;
-    let node = number(&settings)?;
-    let links = Links::new(node, PEER_CALL, &executor);
+    let node = node_id(&settings)?;
+    let links = Links::new(node, PEER_CALL_TIMEOUT, &executor);
     let process = &settings.process;
     info!("Start of {:?} {} as node {}, founding={}.", process.role, process.vm, node.0, settings.founding);
-    let frame = Frame {
-        file: file.to_path_buf(),
+    let context = ProcessContext {
+        settings_path: settings_path.to_path_buf(),
         wire,
         executor,
         clock: Clock::start(),
         node,
         links,
         view: Rc::default(),
-        metrics: Rc::new(Metrics::new().context(MeasuresSnafu)?),
+        metrics: Rc::new(Metrics::new().context(MetricsSnafu)?),
         settings,
     };
-    frame.serve_metrics();
-    let process: Rc<dyn RunningRole> = match frame.settings.process.role {
-        Role::Entry => Rc::new(entry::start(&frame)),
-        Role::Control => Rc::new(control::start(&frame).await.context(ReplicaSnafu)?),
-        Role::Store => Rc::new(store::start(&frame).await.context(ReplicaSnafu)?),
+    context.serve_metrics();
+    let process: Rc<dyn RunningRole> = match context.settings.process.role {
+        Role::Entry => Rc::new(entry::start(&context)),
+        Role::Control => Rc::new(control::start(&context).await.context(ReplicaSnafu)?),
+        Role::Store => Rc::new(store::start(&context).await.context(ReplicaSnafu)?),
     };
     while let Some(signal) = signals.next().await {
         match signal {
-            Ok(Signal::Hup) => process.subscriber().reload(&frame.file),
+            Ok(Signal::Hup) => process.subscriber().reload(&context.settings_path),
             Ok(signal) => {
-                info!("Signal {signal:?}: the process stops.");
+                info!("Received signal {signal:?}; stopping.");
                 break;
             }
-            Err(failure) => warn!("A signal could not be received: {failure}."),
+            Err(error) => warn!("Failed to receive a signal: {error}."),
         }
     }
     process.stop().await;
-    info!("The process has stopped.");
+    info!("Process stopped.");
     Ok(())
 }
 
-/// A role that has started.
+/// A running entry, control replica or store.
 pub(crate) trait RunningRole {
-    /// Its reports to control.
+    /// Reports to control and receives its updates.
     fn subscriber(&self) -> &Rc<Subscriber>;
 
-    /// A planned stop: what is under way is finished, what it leads is handed over.
+    /// Stops gracefully: completes the requests in flight and transfers leadership.
     fn stop(&self) -> LocalBoxFuture<'_, ()>;
 }
 
-/// The number of the process; a new one with each empty disk, and with each start where there is no disk.
-fn number(settings: &Deployment) -> Result<NodeId, StartError> {
+/// Returns the id stored in the data folder. An empty folder gets a new id, and so does each start without a folder.
+fn node_id(settings: &Deployment) -> Result<NodeId, StartError> {
     let process = &settings.process;
-    let drawn = || identity::random_id().context(NumberSnafu { folder: "/dev/urandom" });
+    let random_id = || identity::random_id().context(NodeIdSnafu { folder: "/dev/urandom" });
     let Some(folder) = &settings.data_folder else {
-        return drawn();
+        return random_id();
     };
     let seed = settings.seeds.iter().any(|seed| *seed.ip() == process.ip);
-    let founds = settings.founding && seed && process.role == Role::Control;
-    let fresh = if founds { identity::founder_id(process.ip) } else { drawn()? };
-    identity::load_or_create(folder, fresh).context(NumberSnafu { folder })
+    let is_founder = settings.founding && seed && process.role == Role::Control;
+    let new_id = if is_founder { identity::founder_id(process.ip) } else { random_id()? };
+    identity::load_or_create(folder, new_id).context(NodeIdSnafu { folder })
 }
 
-impl Frame {
+impl ProcessContext {
     fn member(&self) -> Member {
         let process = &self.settings.process;
         Member {
@@ -205,25 +203,24 @@
         }
     }
 
-    /// Bytes of memory that the process may use.
-    fn memory(&self) -> usize {
+    /// Memory limit of the process.
+    fn memory_bytes(&self) -> usize {
         usize::try_from(self.settings.limits.memory_mb << 20).unwrap_or(usize::MAX)
     }
 
-    /// Stores and control replicas that must be sound.
-    fn quorum_base(&self) -> usize {
+    /// Voters of a group: `2f + 1` survive the loss of `f` VMs.
+    fn replication_factor(&self) -> usize {
         2 * self.settings.tolerance.vms + 1
     }
 
     fn storage(&self, snapshot_after: usize) -> Storage {
         Storage {
             data_folder: self.settings.data_folder.clone(),
-            segment: SEGMENT,
+            segment: LOG_SEGMENT_BYTES,
             snapshot_after: u64::try_from(snapshot_after).unwrap_or(u64::MAX),
         }
     }
 
-    /// What every replica of this process is opened with.
     fn opener<'a>(&'a self, storage: &'a Storage, timing: &'a Timing) -> ReplicaOpener<'a> {
         ReplicaOpener {
             node: self.node,
@@ -255,12 +252,12 @@
         });
         self.metrics.observe_freshness(subscriber.clone());
         self.executor.spawn(subscriber.clone().run()).detach();
-        let (watched, file) = (subscriber.clone(), self.file.clone());
-        self.executor.spawn(async move { watched.reload_when_lost(&file).await }).detach();
+        let (reloading, settings_path) = (subscriber.clone(), self.settings_path.clone());
+        self.executor.spawn(async move { reloading.reload_when_lost(&settings_path).await }).detach();
         subscriber
     }
 
-    /// Serves the scrape of metrics, if it has an address.
+    /// Serves the scrape endpoint if its port is set.
     fn serve_metrics(&self) {
         let Some(port) = self.settings.listen.metrics_port else {
             return;
@@ -274,7 +271,7 @@
         self.executor.spawn(serving).detach();
     }
 
-    /// Serves calls of our own processes.
+    /// Serves calls from other processes of the deployment.
     fn serve_peers(&self, server: PeerServer) {
         self.links.set_handlers(server.handlers.clone());
         let address = self.member().peer;
@@ -287,65 +284,70 @@
     }
 }
 
-/// The seeds as our own processes reach them: control's port is the same everywhere, and so is ours.
+/// Peer addresses of the seeds; `port` is the same on all of them.
 fn peer_addresses(settings: &Deployment, port: u16) -> Vec<SocketAddrV4> {
     settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), port)).collect()
 }
 
 impl Subscriber {
-    /// Takes the seeds from the settings file again.
-    fn reload(&self, file: &Path) {
-        match Deployment::load(file) {
+    /// Reloads the seeds from the settings file.
+    fn reload(&self, settings_path: &Path) {
+        match Deployment::load(settings_path) {
             Ok(settings) => {
                 let seeds = peer_addresses(&settings, settings.process.peer_port);
                 if *self.seeds.borrow() != seeds {
-                    info!("The settings name other seeds: {seeds:?}.");
+                    info!("Seeds changed in the settings: {seeds:?}.");
                     self.seeds.replace(seeds);
                 }
             }
-            Err(failure) => warn!("The settings can't be read again and stay as they were: {failure}."),
+            Err(error) => warn!("Failed to reload the settings, keeping the previous ones: {error}."),
         }
     }
 
-    /// The settings may also change without a signal; they matter only to a process that has lost control.
-    async fn reload_when_lost(&self, file: &Path) {
+    /// Reloads the settings while control does not answer, since they may change without a signal.
+    async fn reload_when_lost(&self, settings_path: &Path) {
         loop {
             Timer::after(CONTROL_LOST_AFTER).await;
             let confirmed = self.view.confirmed_at();
             if confirmed.is_none_or(|at| self.clock.now().since(at) > CONTROL_LOST_AFTER) {
-                self.reload(file);
+                self.reload(settings_path);
             }
         }
     }
 }
 
-/// Time bounds of the groups of a deployment.
+/// Timing of the replicated groups of a deployment.
 fn timing() -> Timing {
     Timing {
         leader_interval: Duration::from_millis(60),
         election_timeout: Duration::from_millis(250),
         clock_drift: Duration::from_millis(20),
-        peer_call: PEER_CALL,
+        peer_call: PEER_CALL_TIMEOUT,
         ..Timing::default()
     }
 }
 
-/// Listens, once the address is free, and serves HTTP there.
-fn serve_http(frame: &Frame, address: Option<SocketAddrV4>, handler: Handler, limits: Rc<ServerLimits>) {
+/// Serves HTTP once the address can be bound.
+fn serve_http(
+    context: &ProcessContext,
+    address: Option<SocketAddrV4>,
+    handler: Handler,
+    limits: Rc<ServerLimits>,
+) {
     let Some(address) = address else {
-        warn!("An address of this role is not set, so nothing is served there.");
+        warn!("A listen address of this role is not set; its HTTP server is disabled.");
         return;
     };
-    let executor = Rc::downgrade(&frame.executor);
+    let executor = Rc::downgrade(&context.executor);
     let serving = async move {
         let listener = listen(address).await;
         server::serve(listener, handler, limits, executor).await;
     };
-    frame.executor.spawn(serving).detach();
+    context.executor.spawn(serving).detach();
 }
 
-/// Makes the addresses of control that a process found known to its links.
-fn learn_control(links: &Links, view: &ClusterView) {
+/// Passes the addresses of the control replicas on to the links.
+fn update_control_addresses(links: &Links, view: &ClusterView) {
     for (node, address) in view.control() {
         links.add_address(node, SocketAddr::V4(address));
     }
--- a/agatetrestle/src/deployment/operators.rs
+++ b/agatetrestle/src/deployment/operators.rs
@@ -1,4 +1,4 @@
-//! Calls of operators, at any control replica.
+//! HTTP API for operators, served by every control replica.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,55 +29,55 @@
 use crate::transport::body::ResponseBody;
 use crate::transport::server::Handler;
 
-/// Largest call: a table of some 10,000 routes.
-const CALL_BYTES: usize = 4 << 20;
-/// A VM's emptying is asked for once and stands.
-const FIRST_MARK: u64 = 1;
+/// Largest request body; a table of 10,000 routes fits.
+const MAX_REQUEST_BYTES: usize = 4 << 20;
+/// Incarnation in each command that drains a VM, since a drain is not tied to an incarnation.
+const DRAIN_INCARNATION: u64 = 1;
 
-struct Operators {
+struct OperatorApi {
     wire: Rc<dyn WireFormat>,
     router: Rc<Router>,
 }
 
 pub(super) fn handler(wire: Rc<dyn WireFormat>, router: Rc<Router>) -> Handler {
-    let operators = Rc::new(Operators { wire, router });
+    let api = Rc::new(OperatorApi { wire, router });
     Rc::new(move |request| {
-        let operators = operators.clone();
-        Box::pin(async move { operators.answer(request).await })
+        let api = api.clone();
+        Box::pin(async move { api.handle(request).await })
     })
 }
 
-fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::full(text));
     *response.status_mut() = status;
     response
 }
 
-fn json(body: impl Into<Bytes>) -> Response<ResponseBody> {
-    let mut response = plain(StatusCode::OK, body);
-    let media = http::HeaderValue::from_static("application/json");
-    response.headers_mut().insert(CONTENT_TYPE, media);
+fn json_response(body: impl Into<Bytes>) -> Response<ResponseBody> {
+    let mut response = text_response(StatusCode::OK, body);
+    let content_type = http::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// Nobody can tell whether a command took effect, or who leads: the operator tries again, here or elsewhere.
-fn unsure(failure: &GroupError) -> Response<ResponseBody> {
-    plain(StatusCode::SERVICE_UNAVAILABLE, failure.to_string())
+/// The command may or may not have taken effect, or no leader is known; the operator tries again at any replica.
+fn unavailable(error: &GroupError) -> Response<ResponseBody> {
+    text_response(StatusCode::SERVICE_UNAVAILABLE, error.to_string())
 }
 
-impl Operators {
-    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
-        let (head, body) = request.into_parts();
-        let body = match Limited::new(body, CALL_BYTES).collect().await {
+impl OperatorApi {
+    async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+        let (parts, body) = request.into_parts();
+        let body = match Limited::new(body, MAX_REQUEST_BYTES).collect().await {
             Ok(body) => body.to_bytes(),
-            Err(failure) => return plain(StatusCode::PAYLOAD_TOO_LARGE, failure.to_string()),
+            Err(error) => return text_response(StatusCode::PAYLOAD_TOO_LARGE, error.to_string()),
         };
-        match self.wire.read_operator_request(&head.method, head.uri.path(), &body) {
+        match self.wire.read_operator_request(&parts.method, parts.uri.path(), &body) {
             Some(OperatorRequest::PublishRoutes(text)) => self.publish(text).await,
-            Some(OperatorRequest::ReadRoutes) => self.read().await,
-            Some(OperatorRequest::Drain(vm)) => self.empty(vm).await,
-            Some(OperatorRequest::DrainStatus(vm)) => self.emptied(vm).await,
-            None => plain(StatusCode::NOT_FOUND, "there is no such call"),
+            Some(OperatorRequest::ReadRoutes) => self.read_routes().await,
+            Some(OperatorRequest::Drain(vm)) => self.drain(vm).await,
+            Some(OperatorRequest::DrainStatus(vm)) => self.drain_status(vm).await,
+            None => text_response(StatusCode::NOT_FOUND, "there is no such call"),
         }
     }
 
@@ -86,63 +86,63 @@
             Ok(table) => table.version,
             Err(invalid) => {
                 info!("publish outcome=refused reason=\"{invalid}\"");
-                return plain(StatusCode::BAD_REQUEST, invalid.to_string());
+                return text_response(StatusCode::BAD_REQUEST, invalid.to_string());
             }
         };
         let command = ControlRequest::Command(ControlCommand::Publish { version, text });
-        match self.ask::<ControlReply>(&command).await {
+        match self.submit::<ControlReply>(&command).await {
             Ok(ControlReply::Published { version: in_force }) => {
                 info!("publish version={version} outcome=accepted in_force={in_force}");
-                json(format!("{{\"version\":{in_force}}}"))
+                json_response(format!("{{\"version\":{in_force}}}"))
             }
             Ok(reply) => {
                 warn!("publish version={version} outcome=unsure reply={reply:?}");
-                plain(StatusCode::SERVICE_UNAVAILABLE, "control gave no clear answer")
+                text_response(StatusCode::SERVICE_UNAVAILABLE, "control gave no clear answer")
             }
-            Err(failure) => {
-                warn!("publish version={version} outcome=unsure reason=\"{failure}\"");
-                unsure(&failure)
+            Err(error) => {
+                warn!("publish version={version} outcome=unsure reason=\"{error}\"");
+                unavailable(&error)
             }
         }
     }
 
-    async fn read(&self) -> Response<ResponseBody> {
-        match self.ask::<Option<Document>>(&ControlRequest::Routes).await {
-            Ok(Some(document)) => json(document.text.to_string()),
-            Ok(None) => plain(StatusCode::SERVICE_UNAVAILABLE, "no routes were published yet"),
-            Err(failure) => unsure(&failure),
+    async fn read_routes(&self) -> Response<ResponseBody> {
+        match self.submit::<Option<Document>>(&ControlRequest::Routes).await {
+            Ok(Some(document)) => json_response(document.text.to_string()),
+            Ok(None) => text_response(StatusCode::SERVICE_UNAVAILABLE, "no routes were published yet"),
+            Err(error) => unavailable(&error),
         }
     }
 
-    async fn empty(&self, vm: Arc<str>) -> Response<ResponseBody> {
-        match self.ask::<DrainStatus>(&ControlRequest::Emptying(vm.clone())).await {
-            Ok(DrainStatus::Unknown) => plain(StatusCode::NOT_FOUND, "there is no such store"),
-            Ok(DrainStatus::TooFew) => plain(StatusCode::CONFLICT, "too few stores would be left"),
-            Ok(DrainStatus::Running | DrainStatus::Done) => json("{}"),
+    async fn drain(&self, vm: Arc<str>) -> Response<ResponseBody> {
+        match self.submit::<DrainStatus>(&ControlRequest::Emptying(vm.clone())).await {
+            Ok(DrainStatus::Unknown) => text_response(StatusCode::NOT_FOUND, "there is no such store"),
+            Ok(DrainStatus::TooFew) => text_response(StatusCode::CONFLICT, "too few stores would be left"),
+            Ok(DrainStatus::Running | DrainStatus::Done) => json_response("{}"),
             Ok(DrainStatus::NotAsked) => {
-                let mark = ControlCommand::Leave { name: vm.clone(), incarnation: FIRST_MARK };
-                match self.ask::<ControlReply>(&ControlRequest::Command(mark)).await {
+                let command = ControlCommand::Leave { name: vm.clone(), incarnation: DRAIN_INCARNATION };
+                match self.submit::<ControlReply>(&ControlRequest::Command(command)).await {
                     Ok(reply) => {
-                        info!("empty vm={vm} outcome=accepted reply={reply:?}");
-                        json("{}")
+                        info!("drain vm={vm} outcome=accepted reply={reply:?}");
+                        json_response("{}")
                     }
-                    Err(failure) => unsure(&failure),
+                    Err(error) => unavailable(&error),
                 }
             }
-            Err(failure) => unsure(&failure),
+            Err(error) => unavailable(&error),
         }
     }
 
-    async fn emptied(&self, vm: Arc<str>) -> Response<ResponseBody> {
-        match self.ask::<DrainStatus>(&ControlRequest::Emptying(vm)).await {
-            Ok(DrainStatus::Unknown) => plain(StatusCode::NOT_FOUND, "there is no such store"),
-            Ok(emptying) => json(self.wire.write_drain_status(emptying)),
-            Err(failure) => unsure(&failure),
+    async fn drain_status(&self, vm: Arc<str>) -> Response<ResponseBody> {
+        match self.submit::<DrainStatus>(&ControlRequest::Emptying(vm)).await {
+            Ok(DrainStatus::Unknown) => text_response(StatusCode::NOT_FOUND, "there is no such store"),
+            Ok(status) => json_response(self.wire.write_drain_status(status)),
+            Err(error) => unavailable(&error),
         }
     }
 
-    async fn ask<T: DeserializeOwned>(&self, request: &ControlRequest) -> Result<T, GroupError> {
+    async fn submit<T: DeserializeOwned>(&self, request: &ControlRequest) -> Result<T, GroupError> {
         let reply = self.router.submit(encode(request)).await?;
-        decode(&reply).map_err(|failure| GroupError::Unknown { reason: failure.to_string().into() })
+        decode(&reply).map_err(|error| GroupError::Unknown { reason: error.to_string().into() })
     }
 }
--- a/agatetrestle/src/deployment/overview.rs
+++ b/agatetrestle/src/deployment/overview.rs
@@ -1,4 +1,4 @@
-//! The question of an operator's tool to the control leader of a deployment.
+//! Queries the control leader of a deployment for an operator's tool.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::cluster::overview::Overview;
 use crate::codec::decode;
 use crate::codec::encode;
-use crate::deployment::PEER_CALL;
+use crate::deployment::PEER_CALL_TIMEOUT;
 use crate::deployment::REQUEST_TIMEOUTS;
 use crate::deployment::peer_addresses;
 use crate::ids::CONTROL_GROUP;
@@ -21,40 +21,40 @@
 use crate::node::router::submit_remotely;
 use crate::node::service::Submission;
 
-/// Number of a tool, which takes part in nothing.
-const TOOL: NodeId = NodeId(0);
+/// Node id of a tool, which is not a member.
+const TOOL_NODE: NodeId = NodeId(0);
 
-/// No control replica of the settings answered as the leader.
+/// No control replica of the settings is the leader.
 #[derive(Debug, Snafu)]
 #[snafu(display("no control replica leads: {answers}"))]
 pub struct NoLeaderError {
     answers: Arc<str>,
 }
 
-/// Asks the control replicas that the settings name, one after the other, for an overview of the deployment.
+/// Asks the control replicas of the settings in turn for an overview of the deployment.
 ///
 /// # Errors
 ///
-/// Fails with what each of them said if none leads.
+/// Fails with the answer of each replica if none leads.
 pub async fn overview(
     settings: &Deployment,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<Overview, NoLeaderError> {
-    let links = Links::new(TOOL, PEER_CALL, &executor);
-    let question = encode(&ControlRequest::Overview);
+    let links = Links::new(TOOL_NODE, PEER_CALL_TIMEOUT, &executor);
+    let request = encode(&ControlRequest::Overview);
     let mut answers = Vec::new();
     for address in peer_addresses(settings, settings.process.peer_port) {
         let link = links.link_to(SocketAddr::V4(address));
-        let answer = match submit_remotely(&link, REQUEST_TIMEOUTS.attempt, CONTROL_GROUP, &question).await {
+        let answer = match submit_remotely(&link, REQUEST_TIMEOUTS.attempt, CONTROL_GROUP, &request).await {
             Ok(Submission::Applied(bytes)) => match decode(&bytes) {
                 Ok(overview) => return Ok(overview),
-                Err(failure) => failure.to_string(),
+                Err(error) => error.to_string(),
             },
-            Ok(Submission::NotLeader(_)) => "it does not lead".into(),
+            Ok(Submission::NotLeader(_)) => "not the leader".into(),
             Ok(
                 Submission::Refused(reason) | Submission::Unknown(reason) | Submission::Unreachable(reason),
             ) => reason.to_string(),
-            Err(failure) => failure.to_string(),
+            Err(error) => error.to_string(),
         };
         answers.push(format!("{address}: {answer}"));
     }
--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -1,4 +1,4 @@
-//! A store: a replica of a state group that holds turns and budgets.
+//! A store runs a replica of a state group, which holds turns and budgets.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -33,8 +33,8 @@
 use crate::cluster::voters::Candidate;
 use crate::cluster::voters::VoterCounts;
 use crate::control::command::Document;
-use crate::deployment::Frame;
-use crate::deployment::replicated::Replicated;
+use crate::deployment::ProcessContext;
+use crate::deployment::replica_process::ReplicaProcess;
 use crate::deployment::timing;
 use crate::gateway::wire::WireFormat;
 use crate::ids::FIRST_STATE_GROUP;
@@ -52,110 +52,115 @@
 use crate::turns::admission::TurnAdmission;
 use crate::turns::state::TurnState;
 
-/// Tenths of the memory that kept turns may take. While a snapshot is made or read the turns are there twice, and at a
-/// start the log beside them: 2.5 times 3 tenths and a base of 13 MB stay under 120 MB, the least that a store has;
-/// `tests/store_memory.rs` counts it.
-const ROOM_TENTHS: usize = 3;
-/// Bytes of commands between two snapshots, as a part of the room: less makes more snapshots, more a longer start.
-const LOG_SHARE: usize = 2;
-/// How often a new store looks whether the state group was founded.
-const FOUNDING_POLL: Duration = Duration::from_millis(50);
+/// Tenths of the memory limit that retained turns may take. Snapshots hold the turns twice, and a start holds the log as
+/// well; `tests/store_memory.rs` checks the peak.
+const STATE_MEMORY_TENTHS: usize = 3;
+/// A snapshot is taken once the log reaches the maximum size of the state divided by this. A smaller log means more
+/// snapshots, a larger one a longer start.
+const SNAPSHOT_LOG_DIVISOR: usize = 2;
+/// How often a new store checks whether the state groups are founded.
+const FOUNDING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-pub(super) async fn start(frame: &Frame) -> Result<Replicated<TurnState>, NodeError> {
-    let held = Rc::new(Held::new(frame.settings.bounds.allowance));
-    let (introduced, member) = (held.clone(), frame.member());
-    let introduce = Rc::new(move || introduced.introduce(&member));
-    watch(frame, &held);
-    let subscriber = frame.subscriber(introduce, None);
-    let (inviting, invitations) = smol::channel::bounded(1);
-    frame.serve_peers(server(frame, &held, &inviting));
-    let (id, opened) = open(frame, &held, &subscriber, &invitations).await?;
-    held.replica.replace(Some(opened.clone()));
+pub(super) async fn start(context: &ProcessContext) -> Result<ReplicaProcess<TurnState>, NodeError> {
+    let replica = Rc::new(StoreReplica::new(context.settings.bounds.allowance));
+    let (reported, member) = (replica.clone(), context.member());
+    let status_source = Rc::new(move || reported.status(&member));
+    watch_cluster(context, &replica);
+    let subscriber = context.subscriber(status_source, None);
+    let (invitation_sender, invitations) = smol::channel::bounded(1);
+    context.serve_peers(peer_server(context, &replica, &invitation_sender));
+    let (id, group) = open(context, &replica, &subscriber, &invitations).await?;
+    replica.group.replace(Some(group.clone()));
     subscriber.report_now();
-    let view = frame.view.clone();
+    let view = context.view.clone();
     let candidates = Rc::new(move || candidates(id, &view));
-    let wanted = VoterCounts { target: frame.quorum_base(), min: frame.quorum_base() };
-    frame.executor.spawn(repair::repair_forever(opened.clone(), candidates, wanted)).detach();
-    Ok(Replicated { group: opened, subscriber })
+    let wanted = VoterCounts { target: context.replication_factor(), min: context.replication_factor() };
+    context.executor.spawn(repair::repair_forever(group.clone(), candidates, wanted)).detach();
+    Ok(ReplicaProcess { group, subscriber })
 }
 
-/// The replica of this store, which holds one at the most: the turns of one group may fill its memory.
-struct Held {
-    /// The group of the replica, from when that is decided on.
-    group: Cell<Option<GroupId>>,
-    /// Whether the store knows that it founds no group, so that any may take it in.
+/// The replica of this store. There is one at most, since the turns of a group may fill its memory.
+struct StoreReplica {
+    /// Set before the replica is opened.
+    id: Cell<Option<GroupId>>,
+    /// Whether the store founds no group, so that any group may invite it.
     spare: Cell<bool>,
-    replica: RefCell<Option<Rc<Group<TurnState>>>>,
-    /// What the replica weighs while it leads.
-    openings: Rc<RefCell<TurnAdmission>>,
+    group: RefCell<Option<Rc<Group<TurnState>>>>,
+    /// Used while the replica leads.
+    admission: Rc<RefCell<TurnAdmission>>,
 }
 
-impl Held {
+impl StoreReplica {
     fn new(bounds: AllowanceBounds) -> Self {
         Self {
-            group: Cell::default(),
+            id: Cell::default(),
             spare: Cell::default(),
-            replica: RefCell::default(),
-            openings: Rc::new(RefCell::new(TurnAdmission::new(bounds))),
+            group: RefCell::default(),
+            admission: Rc::new(RefCell::new(TurnAdmission::new(bounds))),
         }
     }
 
-    fn introduce(&self, member: &Member) -> NodeStatus {
-        let replica = self.replica.borrow();
-        let ready = replica.is_some() || self.spare.get();
-        let member = Member { ready, group: self.group.get(), ..member.clone() };
-        let leading = replica.as_ref().filter(|replica| replica.leads());
-        let voters = leading.map(|replica| replica.replicas().voters);
-        let holdings = replica.as_ref().map(|replica| replica.machine(TurnState::holdings));
+    fn status(&self, member: &Member) -> NodeStatus {
+        let group = self.group.borrow();
+        let ready = group.is_some() || self.spare.get();
+        let member = Member { ready, group: self.id.get(), ..member.clone() };
+        let leading = group.as_ref().filter(|group| group.leads());
+        let voters = leading.map(|group| group.replicas().voters);
+        let holdings = group.as_ref().map(|group| group.machine(TurnState::holdings));
         NodeStatus { member, voters, holdings }
     }
 
-    fn replica_of(&self, group: GroupId) -> Option<Rc<Group<TurnState>>> {
-        let replica = self.replica.borrow();
-        replica.as_ref().filter(|_| self.group.get() == Some(group)).cloned()
+    fn group(&self, id: GroupId) -> Option<Rc<Group<TurnState>>> {
+        let group = self.group.borrow();
+        group.as_ref().filter(|_| self.id.get() == Some(id)).cloned()
     }
 }
 
-/// What other nodes reach here, for whichever group this store comes to hold. A message that counts this store as a learner
-/// of a group is an invitation; the leader sends it again until it is answered.
-fn server(frame: &Frame, held: &Rc<Held>, inviting: &Sender<GroupId>) -> PeerServer {
+/// Serves other nodes for whichever group this store joins. A message that counts this store as a learner of a group is
+/// an invitation; the leader sends it again until it is answered.
+fn peer_server(
+    context: &ProcessContext,
+    replica: &Rc<StoreReplica>,
+    invitations: &Sender<GroupId>,
+) -> PeerServer {
     let mut server = PeerServer::default();
-    let own = frame.node;
+    let local_node = context.node;
     for id in state_groups() {
-        let (receiving, inviting) = (held.clone(), inviting.clone());
+        let (receiver, invitations) = (replica.clone(), invitations.clone());
         let receive = move |message: Message| {
-            if let Some(replica) = receiving.replica_of(id) {
-                return replica.receive(message);
+            if let Some(group) = receiver.group(id) {
+                return group.receive(message);
             }
-            if message.to == own && message.addresses_learner() {
-                // A full channel means that another group has invited.
-                let _ = inviting.try_send(id);
+            if message.to == local_node && message.addresses_learner() {
+                // The channel is full if another group has already invited this store.
+                let _ = invitations.try_send(id);
             }
             Vec::new()
         };
         server.handlers.insert(id, Rc::new(receive));
-        let desk = StoreService { id, held: held.clone(), clock: frame.clock, opened: RefCell::default() };
-        server.services.insert(id, Rc::new(desk));
+        let service =
+            StoreService { id, replica: replica.clone(), clock: context.clock, service: RefCell::default() };
+        server.services.insert(id, Rc::new(service));
     }
     server
 }
 
-/// What this store offers of one group, once it holds a replica of it.
+/// Serves requests to one group once this store runs a replica of it.
 struct StoreService {
     id: GroupId,
-    held: Rc<Held>,
+    replica: Rc<StoreReplica>,
     clock: Clock,
-    opened: RefCell<Option<Rc<TurnService>>>,
+    service: RefCell<Option<Rc<TurnService>>>,
 }
 
 impl StoreService {
-    fn desk(&self) -> Option<Rc<TurnService>> {
-        let replica = self.held.replica_of(self.id)?;
-        let mut opened = self.opened.borrow_mut();
+    fn turn_service(&self) -> Option<Rc<TurnService>> {
+        let group = self.replica.group(self.id)?;
+        let mut service = self.service.borrow_mut();
         Some(
-            opened
+            service
                 .get_or_insert_with(|| {
-                    Rc::new(TurnService::new(replica, self.clock, self.held.openings.clone()))
+                    Rc::new(TurnService::new(group, self.clock, self.replica.admission.clone()))
                 })
                 .clone(),
         )
@@ -164,82 +169,91 @@
 
 impl GroupService for StoreService {
     fn submit(&self, request: Vec<u8>) -> LocalBoxFuture<'_, Submission> {
-        let Some(desk) = self.desk() else {
+        let Some(service) = self.turn_service() else {
             return Box::pin(async { Submission::NotLeader(None) });
         };
-        Box::pin(async move { desk.submit(request).await })
+        Box::pin(async move { service.submit(request).await })
     }
 
     fn history(&self, offset: u64) -> Vec<u8> {
-        self.desk().map_or_else(Vec::new, |desk| desk.history(offset))
+        self.turn_service().map_or_else(Vec::new, |service| service.history(offset))
     }
 }
 
-/// The stores that may take part in a group: those that hold a replica of it and spare ones.
+/// The stores that may take part in a group: those that run a replica of it and spare ones.
 fn candidates(group: GroupId, view: &ClusterView) -> Vec<Candidate> {
-    let fit = |store: &Member| store.ready && store.group.is_none_or(|held| held == group);
+    let eligible = |store: &Member| store.ready && store.group.is_none_or(|id| id == group);
     let candidate = |store: Member| Candidate {
         node: store.node,
-        tie_break: lot(group, store.node),
+        tie_break: tie_break(group, store.node),
         leaving: view.is_leaving(&store.vm),
         zone: store.zone,
     };
-    view.stores().into_iter().filter(fit).map(candidate).collect()
+    view.stores().into_iter().filter(eligible).map(candidate).collect()
 }
 
-fn lot(group: GroupId, node: NodeId) -> u64 {
+fn tie_break(group: GroupId, node: NodeId) -> u64 {
     xxh3_64_with_seed(&node.0.to_le_bytes(), group.0.into())
 }
 
-/// Takes in the declared teams, finds the other stores where they last were, and keeps where they are from now on.
-fn watch(frame: &Frame, held: &Rc<Held>) {
+/// Follows the cluster view for the declared teams, and persists the addresses of the other stores across restarts.
+fn watch_cluster(context: &ProcessContext, replica: &Rc<StoreReplica>) {
     let (tx, rx) = smol::channel::unbounded();
-    let (wire, clock) = (frame.wire.clone(), frame.clock);
-    frame.view.watch(Rc::new(StoreWatcher { stores: tx, wire, clock, openings: held.openings.clone() }));
-    let Some(folder) = &frame.settings.data_folder else {
+    let (wire, clock) = (context.wire.clone(), context.clock);
+    context.view.watch(Rc::new(StoreWatcher {
+        stores: tx,
+        wire,
+        clock,
+        admission: replica.admission.clone(),
+    }));
+    let Some(folder) = &context.settings.data_folder else {
         return;
     };
-    let kept = contacts::load(folder).unwrap_or_else(|failure| {
-        warn!("Where the other stores were can't be read, so control has to tell: {failure}.");
+    let saved = contacts::load(folder).unwrap_or_else(|error| {
+        warn!("Failed to load the addresses of other stores, waiting for control: {error}.");
         BTreeMap::new()
     });
-    for (node, address) in &kept {
-        frame.links.add_address(*node, SocketAddr::V4(*address));
+    for (node, address) in &saved {
+        context.links.add_address(*node, SocketAddr::V4(*address));
     }
     let folder = folder.clone();
     let saving = async move {
-        let mut kept = kept;
+        let mut saved = saved;
         while let Ok(stores) = rx.recv().await {
-            if stores == kept {
+            if stores == saved {
                 continue;
             }
-            let (folder, saved) = (folder.clone(), stores.clone());
-            match smol::unblock(move || contacts::save(&folder, &saved)).await {
-                Ok(()) => kept = stores,
-                Err(failure) => warn!("Where the other stores are can't be kept: {failure}."),
+            let (folder, contacts) = (folder.clone(), stores.clone());
+            match smol::unblock(move || contacts::save(&folder, &contacts)).await {
+                Ok(()) => saved = stores,
+                Err(error) => warn!("Failed to save the addresses of other stores: {error}."),
             }
         }
     };
-    frame.executor.spawn(saving).detach();
+    context.executor.spawn(saving).detach();
 }
 
-/// Passes on which teams are declared, and where the stores are each time the members change.
+/// Applies declared teams to the admission and sends the addresses of the stores at each change of the members.
 struct StoreWatcher {
     stores: Sender<BTreeMap<NodeId, SocketAddrV4>>,
     wire: Rc<dyn WireFormat>,
     clock: Clock,
-    openings: Rc<RefCell<TurnAdmission>>,
+    admission: Rc<RefCell<TurnAdmission>>,
 }
 
 impl Watcher for StoreWatcher {
     fn routes(&self, document: &Document) {
         match self.wire.read_table(document.text.as_bytes()) {
             Ok(table) => {
-                info!("{} teams of version {} have accounts here.", table.teams().len(), table.version);
-                self.openings.borrow_mut().set_teams(self.clock.now(), table.teams());
+                info!(
+                    "Applying the limits of {} teams of routes version {}.",
+                    table.teams().len(),
+                    table.version
+                );
+                self.admission.borrow_mut().set_teams(self.clock.now(), table.teams());
             }
-            // Control accepted it, so this node is of another build; it goes on with the teams that it knows.
-            Err(failure) => warn!("Teams of version {} can't be used here: {failure}.", document.version),
+            // Control accepted the table, so this node runs another build; it keeps the teams that it has.
+            Err(error) => warn!("Failed to read the teams of routes version {}: {error}.", document.version),
         }
     }
 
@@ -247,72 +261,79 @@
         let stores = members.iter().filter(|member| member.role == Role::Store);
         let stores: BTreeMap<NodeId, SocketAddrV4> =
             stores.map(|member| (member.node, member.peer)).collect();
-        // A list without stores is of a control leader that has not heard from them yet. The receiver lasts as long as
-        // the process.
+        // A list without stores comes from a new control leader that has no reports from them yet. The receiver lives as
+        // long as the process.
         if !stores.is_empty() {
             let _ = self.stores.try_send(stores);
         }
     }
 }
 
-/// Opens the replica from its files. A new store waits until it knows whether it is one of the founders, and if it is none
-/// until a group invites it.
+/// Opens the replica from its files. A new store waits until the state groups are founded, and if it is not among the
+/// founders until a group invites it.
 async fn open(
-    frame: &Frame,
-    held: &Held,
+    context: &ProcessContext,
+    replica: &StoreReplica,
     subscriber: &Subscriber,
     invitations: &Receiver<GroupId>,
 ) -> Result<(GroupId, Rc<Group<TurnState>>), NodeError> {
-    debug_assert_eq!(frame.settings.process.role, Role::Store, "only a store holds turns");
-    let room = frame.memory() / 10 * ROOM_TENTHS;
-    let (storage, timing) = (frame.storage(room / LOG_SHARE), timing());
-    let opener = frame.opener(&storage, &timing);
+    debug_assert_eq!(
+        context.settings.process.role,
+        Role::Store,
+        "only a store runs a replica of a state group"
+    );
+    let max_bytes = context.memory_bytes() / 10 * STATE_MEMORY_TENTHS;
+    let (storage, timing) = (context.storage(max_bytes / SNAPSHOT_LOG_DIVISOR), timing());
+    let opener = context.opener(&storage, &timing);
     let mut founders = None;
-    let found = if let Some(found) = held_before(frame, &opener).await? {
-        found
-    } else if let Some((id, voters)) = founded(frame).await {
+    let stored = if let Some(stored) = stored_replica(context, &opener).await? {
+        stored
+    } else if let Some((id, voters)) = founding_group(context).await {
         founders = Some(voters);
         opener.find(id).await?
     } else {
-        held.spare.set(true);
+        replica.spare.set(true);
         subscriber.report_now();
         info!("The store is spare until a state group takes it in.");
-        // The sending side lasts as long as the process.
+        // The sender lives as long as the process.
         opener.find(invitations.recv().await.unwrap_or(FIRST_STATE_GROUP)).await?
     };
-    let id = found.group();
-    held.group.set(Some(id));
-    // The number lasts before the first file of the replica does and is new with each empty disk. So a founder with its number
-    // but without files never acknowledged anything.
+    let id = stored.group();
+    replica.id.set(Some(id));
+    // The node id is stored before the replica's first file, and an empty disk gets a new id. So a founder with its id but
+    // without files has acknowledged nothing.
     let missing = if founders.is_some() { MissingFiles::Bootstrap } else { MissingFiles::Join };
     let founders: Vec<NodeId> = founders.into_iter().flatten().collect();
     info!("State group {} is opened by {missing:?}; its founders are {founders:?}.", id.0);
-    let replica = opener.open_stored(found, TurnState::with_max_bytes(room), &founders, missing).await?;
-    replica.driver.detach();
-    Ok((id, replica.group))
+    let local = opener.open_stored(stored, TurnState::with_max_bytes(max_bytes), &founders, missing).await?;
+    local.driver.detach();
+    Ok((id, local.group))
 }
 
-/// The files of the group of which this store held a replica before its start.
-async fn held_before(frame: &Frame, opener: &ReplicaOpener<'_>) -> Result<Option<StoredReplica>, NodeError> {
-    let Some(folder) = &frame.settings.data_folder else {
+/// Finds the files of the replica that this store ran before it was restarted.
+async fn stored_replica(
+    context: &ProcessContext,
+    opener: &ReplicaOpener<'_>,
+) -> Result<Option<StoredReplica>, NodeError> {
+    let Some(folder) = &context.settings.data_folder else {
         return Ok(None);
     };
     for id in state_groups().filter(|id| has_folder(folder, *id)) {
-        let found = opener.find(id).await?;
-        if !found.is_empty() {
-            return Ok(Some(found));
+        let stored = opener.find(id).await?;
+        if !stored.is_empty() {
+            return Ok(Some(stored));
         }
     }
     Ok(None)
 }
 
-/// The group that this store founds with others, once control has told the founders.
-async fn founded(frame: &Frame) -> Option<(GroupId, BTreeSet<NodeId>)> {
+/// Waits until control names the founders, and returns the group that this store is a founder of.
+async fn founding_group(context: &ProcessContext) -> Option<(GroupId, BTreeSet<NodeId>)> {
     loop {
-        let founding = frame.view.initial_voters();
+        let founding = context.view.initial_voters();
         if !founding.is_empty() {
-            return state_groups().zip(founding).find(|(_, voters)| voters.contains(&frame.node));
+            return state_groups().zip(founding).find(|(_, voters)| voters.contains(&context.node));
         }
-        Timer::after(FOUNDING_POLL).await;
+        Timer::after(FOUNDING_POLL_INTERVAL).await;
     }
 }
--- a/agatetrestle/src/deployment/tests.rs
+++ b/agatetrestle/src/deployment/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the answers to callers that ask for addresses, and of the founding of state groups.
+//! Tests of address lookups, of the founding of state groups and of the routing of turns.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -7,10 +7,10 @@
 
 use crate::cluster::message::Member;
 use crate::cluster::voters::Candidate;
-use crate::deployment::control::founders;
+use crate::deployment::control::initial_voters;
 use crate::deployment::directory::addresses;
-use crate::deployment::turns::home;
-use crate::deployment::turns::part;
+use crate::deployment::turns::group_index;
+use crate::deployment::turns::group_share;
 use crate::ids::NodeId;
 
 fn entry(number: u8, zone: &str, ready: bool) -> Member {
@@ -31,13 +31,13 @@
 }
 
 #[test]
-fn callers_stay_in_their_failure_domain_while_two_entries_serve_there() {
+fn returns_local_entries_if_two_are_ready() {
     let members = [entry(1, "a", true), entry(2, "a", true), entry(3, "b", true), entry(4, "b", false)];
     assert_eq!(last_octets(&members, "a"), [1, 2]);
     assert_eq!(
         last_octets(&members, "b"),
         [1, 2, 3],
-        "one is not enough, and one that is not ready gets nobody"
+        "one ready entry is not enough, and entries that are not ready are left out"
     );
     assert_eq!(last_octets(&members, "elsewhere"), [1, 2, 3]);
 }
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn groups_share_no_store_and_lie_in_all_domains() {
+fn spreads_disjoint_groups_over_failure_domains() {
     for (count, wanted, groups) in [(3, 3, 1), (7, 3, 1), (8, 3, 2), (10, 5, 1), (36, 5, 6), (400, 5, 32)] {
-        let founded = founders(stores(count, 5), wanted);
-        assert_eq!(founded.len(), groups, "{count} stores");
-        let all: BTreeSet<NodeId> = founded.iter().flatten().copied().collect();
+        let groups_of_voters = initial_voters(stores(count, 5), wanted);
+        assert_eq!(groups_of_voters.len(), groups, "{count} stores");
+        let all: BTreeSet<NodeId> = groups_of_voters.iter().flatten().copied().collect();
         assert_eq!(all.len(), groups * wanted);
-        for voters in founded {
+        for voters in groups_of_voters {
             let zones: BTreeSet<u64> = voters.iter().map(|node| node.0 % 5).collect();
             assert_eq!(zones.len(), wanted.min(5));
         }
@@ -67,20 +67,20 @@
 }
 
 #[test]
-fn programs_spread_evenly_over_groups_and_stay_where_they_are() {
+fn assigns_programs_to_groups_evenly() {
     let mut counts = [0; 6];
     for number in 0..6_000 {
         let program = format!("{number:x}");
-        counts[home(&program, 6)] += 1;
-        assert_eq!(home(&program, 6), home(&program, 6));
+        counts[group_index(&program, 6)] += 1;
+        assert_eq!(group_index(&program, 6), group_index(&program, 6));
     }
     assert!(counts.iter().all(|count| (900..1_100).contains(count)), "{counts:?}");
 }
 
 #[test]
-fn each_group_reckons_with_its_part_of_the_places_and_with_one_at_least() {
+fn splits_slots_among_groups_rounding_up() {
     assert_eq!(
-        [(288, 1), (462, 6), (5, 6), (0, 6)].map(|(places, groups)| part(places, groups)),
+        [(288, 1), (462, 6), (5, 6), (0, 6)].map(|(slots, groups)| group_share(slots, groups)),
         [288, 77, 1, 0]
     );
 }
