--- a/agatetrestle/src/operator/calls.rs
+++ b/agatetrestle/src/operator/calls.rs
@@ -1,47 +1,48 @@
-//! The calls of one connection: how many are under way, and whether the connection is idle.
+//! Limits the calls in flight on a connection, and detects whether it is idle.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use capnp::Error;
 
-/// Calls that one connection may have under way at once.
-pub(super) const MAX_CALLS: u32 = 4;
+pub(super) const MAX_CALLS_IN_FLIGHT: u32 = 4;
 
-/// The calls of one connection.
+/// Counts the calls of one connection.
 #[derive(Default)]
-pub(super) struct Calls {
-    under_way: Cell<u32>,
-    begun: Cell<u64>,
+pub(super) struct CallTracker {
+    in_flight: Cell<u32>,
+    started: Cell<u64>,
 }
 
-impl Calls {
-    /// Begins a call, or tells the operator to come back.
-    pub(super) fn begin(self: &Rc<Self>) -> Result<Call, Error> {
-        if self.under_way.get() >= MAX_CALLS {
-            return Err(Error::overloaded(format!("{MAX_CALLS} calls are under way already")));
+impl CallTracker {
+    /// Fails with `Overloaded` if too many calls are in flight.
+    pub(super) fn start(self: &Rc<Self>) -> Result<CallGuard, Error> {
+        if self.in_flight.get() >= MAX_CALLS_IN_FLIGHT {
+            return Err(Error::overloaded(format!(
+                "{MAX_CALLS_IN_FLIGHT} calls are already in flight on this connection"
+            )));
         }
-        self.under_way.set(self.under_way.get() + 1);
-        self.begun.set(self.begun.get() + 1);
-        Ok(Call(Rc::clone(self)))
+        self.in_flight.set(self.in_flight.get() + 1);
+        self.started.set(self.started.get() + 1);
+        Ok(CallGuard(Rc::clone(self)))
     }
 
-    /// Calls begun so far, to compare with later.
-    pub(super) fn begun(&self) -> u64 {
-        self.begun.get()
+    /// Number of calls started so far.
+    pub(super) fn started(&self) -> u64 {
+        self.started.get()
     }
 
-    /// Whether nothing is under way and nothing has begun since so many calls.
-    pub(super) fn idle_since(&self, begun: u64) -> bool {
-        self.under_way.get() == 0 && self.begun.get() == begun
+    /// Whether no call is in flight and none was started since [`Self::started`] returned `started`.
+    pub(super) fn idle_since(&self, started: u64) -> bool {
+        self.in_flight.get() == 0 && self.started.get() == started
     }
 }
 
-/// A call under way; dropping it lets the next one begin.
-pub(super) struct Call(Rc<Calls>);
+/// Counts a call as in flight until dropped.
+pub(super) struct CallGuard(Rc<CallTracker>);
 
-impl Drop for Call {
+impl Drop for CallGuard {
     fn drop(&mut self) {
-        self.0.under_way.set(self.0.under_way.get() - 1);
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
 }
--- a/agatetrestle/src/operator/diff.rs
+++ b/agatetrestle/src/operator/diff.rs
@@ -1,12 +1,12 @@
-//! A small line difference, so that the loser of a race sees what changed under its hands.
+//! Line diff that shows an operator how a document differs from the one in force.
 
-/// Lines beyond which texts are no longer compared line by line, because the table grows with the product.
+/// Longer texts are not compared line by line, since the table grows with the product of their lengths.
 pub const MAX_DIFF_LINES: usize = 1_000;
 
-/// Returns the lines that were removed (`-`) and added (`+`) on the way from `old` to `new`, in order.
+/// Returns the lines removed (`-`) from `old` and added (`+`) in `new`, in order.
 ///
-/// Lines in common are left out. Texts that differ in more than [`MAX_DIFF_LINES`] lines are told as
-/// removed and added whole, which bounds time and memory.
+/// Common lines are left out. If the differing part of a text exceeds [`MAX_DIFF_LINES`], it is reported as removed and
+/// added as a whole, which bounds time and memory.
 #[must_use]
 pub fn line_diff(old: &str, new: &str) -> String {
     let old: Vec<&str> = old.lines().collect();
@@ -16,19 +16,19 @@
     let suffix = old.iter().rev().zip(new.iter().rev()).take_while(|(a, b)| a == b).count();
     let (old, new) = (&old[..old.len() - suffix], &new[..new.len() - suffix]);
     if old.len() > MAX_DIFF_LINES || new.len() > MAX_DIFF_LINES {
-        return whole(old, new);
+        return replacement(old, new);
     }
-    walk(old, new, &common_lengths(old, new))
+    edit_script(old, new, &common_lengths(old, new))
 }
 
-fn whole(old: &[&str], new: &[&str]) -> String {
+fn replacement(old: &[&str], new: &[&str]) -> String {
     let mut out = String::new();
     push_all(&mut out, '-', old);
     push_all(&mut out, '+', new);
     out
 }
 
-/// Length of the longest common subsequence of each pair of tails, row by row.
+/// Lengths of the longest common subsequence of each pair of suffixes, in row-major order.
 fn common_lengths(old: &[&str], new: &[&str]) -> Vec<u32> {
     let width = new.len() + 1;
     let mut lengths = vec![0; (old.len() + 1) * width];
@@ -44,7 +44,7 @@
     lengths
 }
 
-fn walk(old: &[&str], new: &[&str], lengths: &[u32]) -> String {
+fn edit_script(old: &[&str], new: &[&str], lengths: &[u32]) -> String {
     let width = new.len() + 1;
     let mut out = String::new();
     let (mut i, mut j) = (0, 0);
--- a/agatetrestle/src/operator/diff/tests.rs
+++ b/agatetrestle/src/operator/diff/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the line difference.
+//! Tests of the line diff.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -6,7 +6,7 @@
 use super::*;
 
 #[test]
-fn only_changed_lines_are_told() {
+fn reports_only_changed_lines() {
     let old = "format: 1\nclasses:\n  dawn: {priority: 9}\n  plan: {priority: 2}\n";
     let new = "format: 1\nclasses:\n  dawn: {priority: 8}\n  plan: {priority: 2}\n  extra: {priority: 1}\n";
     insta::assert_snapshot!(line_diff(old, new), @r"
@@ -17,11 +17,11 @@
 }
 
 #[test]
-fn texts_too_long_to_compare_are_told_whole() {
+fn reports_long_texts_as_replaced() {
     let old = "a\n".repeat(MAX_DIFF_LINES + 1);
-    let told = line_diff(&old, "b\n");
-    assert_eq!(told.lines().filter(|line| *line == "-a").count(), MAX_DIFF_LINES + 1);
-    assert_eq!(told.lines().filter(|line| *line == "+b").count(), 1);
+    let diff = line_diff(&old, "b\n");
+    assert_eq!(diff.lines().filter(|line| *line == "-a").count(), MAX_DIFF_LINES + 1);
+    assert_eq!(diff.lines().filter(|line| *line == "+b").count(), 1);
 }
 
 fn config() -> ProptestConfig {
@@ -32,11 +32,11 @@
     #![proptest_config(config())]
 
     #[test]
-    fn applying_the_counts_gives_the_new_length(old in lines(), new in lines()) {
-        let told = line_diff(&old, &new);
-        let count = |sign| told.lines().filter(|line| line.starts_with(sign)).count();
+    fn line_counts_match_new_text(old in lines(), new in lines()) {
+        let diff = line_diff(&old, &new);
+        let count = |sign| diff.lines().filter(|line| line.starts_with(sign)).count();
         prop_assert_eq!(old.lines().count() + count('+') - count('-'), new.lines().count());
-        prop_assert_eq!(told.is_empty(), old == new);
+        prop_assert_eq!(diff.is_empty(), old == new);
     }
 }
 
--- a/agatetrestle/src/operator/handlers.rs
+++ b/agatetrestle/src/operator/handlers.rs
@@ -1,4 +1,4 @@
-//! What each call asks of the ports, apart from how it travels.
+//! The operator calls in terms of the ports, independent of the RPC encoding.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use crate::ids::ProgramId;
 use crate::operator::OperatorServer;
 use crate::operator::error::CallError;
-use crate::operator::error::NoProgramIdSnafu;
+use crate::operator::error::InvalidProgramIdSnafu;
 use crate::operator::error::NoSuchNameSnafu;
 use crate::operator::rows::MAX_ROWS;
 use crate::programs::command::ProgramCommand;
@@ -24,17 +24,17 @@
 use crate::programs::command::QueryReply;
 
 impl OperatorServer {
-    /// The document in force on this node; version 0 and no text where there is none.
+    /// The document in force on this node, or an empty one of version 0.
     pub(super) fn document(&self, scope: &str) -> Document {
-        let none = || Document { version: 0, text: "".into(), revision: 0 };
-        self.control.configuration().documents.get(scope).cloned().unwrap_or_else(none)
+        let empty = || Document { version: 0, text: "".into(), revision: 0 };
+        self.control.configuration().documents.get(scope).cloned().unwrap_or_else(empty)
     }
 
-    /// Checks an offered document beside the shared one in force, if there is one.
-    pub(super) fn check(&self, scope: &str, offered: &str) -> Result<(), ConfigError> {
+    /// Validates a document together with the shared one in force, if there is one.
+    pub(super) fn check(&self, scope: &str, text: &str) -> Result<(), ConfigError> {
         let shared = self.document(SHARED_SCOPE);
         let shared = Declarations::read(SHARED_SCOPE, &shared.text).ok().filter(|_| shared.version > 0);
-        Declarations::parse_beside(scope, offered, shared.as_ref()).map(drop)
+        Declarations::parse_beside(scope, text, shared.as_ref()).map(drop)
     }
 
     /// Programs of one partner, or of all declared partners where `partner` is empty.
@@ -58,16 +58,16 @@
         configuration.documents.keys().filter(|scope| &***scope != SHARED_SCOPE).cloned().collect()
     }
 
-    /// Marks a name as leaving and returns the incarnation that leaves.
+    /// Marks a node or backend server as leaving, and returns the incarnation that the mark applies to.
     pub(super) async fn mark_leaving(&self, name: Arc<str>) -> Result<u64, CallError> {
         let incarnation = self.incarnation(&name).context(NoSuchNameSnafu { name: name.clone() })?;
         match self.control.commit(ControlCommand::Leave { name, incarnation }).await? {
             ControlReply::Leaving { incarnation } => Ok(incarnation),
-            _ => Err(CallError::Unexpected),
+            _ => Err(CallError::UnexpectedReply),
         }
     }
 
-    /// A node's present incarnation, and 0 for a backend server, which has none.
+    /// Current incarnation of a node; 0 for a backend server, which has none.
     fn incarnation(&self, name: &str) -> Option<u64> {
         let members = self.members.members();
         let newest = members.iter().filter(|m| &*m.vm == name).map(|m| m.incarnation).max();
@@ -75,7 +75,7 @@
         newest.or_else(|| declared().then_some(0))
     }
 
-    /// Settles a call of unknown outcome.
+    /// Records whether a call of unknown outcome ran.
     pub(super) async fn settle(
         &self,
         program: Arc<str>,
@@ -83,12 +83,12 @@
         ran: bool,
         note: Arc<str>,
     ) -> Result<(), CallError> {
-        let program = ProgramId::parse(&program).context(NoProgramIdSnafu { text: program })?;
+        let program = ProgramId::parse(&program).context(InvalidProgramIdSnafu { text: program })?;
         let command = ProgramCommand::Resolve { program, call: CallNumber(call), ran, note };
         match self.ledger.commit(command).await? {
             ProgramReply::Done(_) => Ok(()),
-            ProgramReply::Refused(refusal) => Err(CallError::Unsettled { refusal }),
-            _ => Err(CallError::Unexpected),
+            ProgramReply::Refused(refusal) => Err(CallError::NotSettled { refusal }),
+            _ => Err(CallError::UnexpectedReply),
         }
     }
 }
--- a/agatetrestle/src/operator/mod.rs
+++ b/agatetrestle/src/operator/mod.rs
@@ -1,7 +1,7 @@
 //! RPC for operators; see docs/operators/README.md.
 //!
-//! Any node answers. Changes go through the control group, so that two operators who race each
-//! other meet one compare-and-set; see docs/design/003-configuration-versions-and-lease.md.
+//! Any node answers. Changes are committed by the control group, where a compare-and-set detects concurrent ones; see
+//! docs/design/003-configuration-versions-and-lease.md.
 
 pub mod diff;
 
@@ -26,7 +26,7 @@
 use smol::net::TcpStream;
 
 use crate::ids::NodeId;
-use crate::operator::calls::Calls;
+use crate::operator::calls::CallTracker;
 use crate::operator::rpc::Connection;
 use crate::ports::Backends;
 use crate::ports::Control;
@@ -37,23 +37,22 @@
 use crate::transport::accept::ConnectionLimiter;
 use crate::transport::accept::ConnectionPermit;
 
-/// Connections open at once. Each holds at most the messages of its calls and one that is being read,
-/// so that all operators together hold at most 40 MiB of them.
+/// Connections open at once. Each holds the messages of its calls and one that is being read, so that all of them
+/// together take at most 40 MiB.
 pub const MAX_CONNECTIONS: usize = 8;
 
-/// Largest message from an operator, in bytes; one document with 2,200 teams and 1,500 backend servers
-/// takes 450 KB.
+/// Largest message from an operator; a document with 2,200 teams and 1,500 backend servers fits.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// A connection without a call for this time is closed, so that one gone silent does not hold its place.
+/// A connection without calls for this time is closed, so that lost clients don't use up the connections.
 pub const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-const WORD: usize = 8;
-const NESTING: i32 = 16;
+const BYTES_PER_WORD: usize = 8;
+const MAX_NESTING: i32 = 16;
 
-/// What the RPC for operators draws on, all of it behind traits.
+/// The RPC server with the parts of the node that it queries and changes.
 pub struct OperatorServer {
-    /// The control group.
+    /// Commits changes and gives the configuration in force.
     pub control: Rc<dyn Control>,
     /// The known nodes.
     pub members: Rc<dyn Members>,
@@ -63,43 +62,43 @@
     pub backends: Rc<dyn Backends>,
     /// The replicated groups of this node.
     pub groups: Rc<dyn Groups>,
-    /// The newest trace lines.
+    /// The most recent trace lines.
     pub traces: Rc<dyn Traces>,
-    /// This node.
+    /// Id of this node.
     pub node: NodeId,
 }
 
-/// Accepts operators' connections for as long as it is polled.
+/// Accepts connections of operators until the future is dropped.
 pub async fn serve(server: Rc<OperatorServer>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
     let limiter = ConnectionLimiter::new("an operator");
     loop {
         let (stream, permit) = limiter.accept(&listener, || MAX_CONNECTIONS).await;
-        executor.spawn(converse(Rc::clone(&server), stream, permit)).detach();
+        executor.spawn(serve_connection(Rc::clone(&server), stream, permit)).detach();
     }
 }
 
-async fn converse(server: Rc<OperatorServer>, stream: TcpStream, _permit: ConnectionPermit) {
+async fn serve_connection(server: Rc<OperatorServer>, stream: TcpStream, _permit: ConnectionPermit) {
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(MAX_MESSAGE_BYTES / WORD));
-    options.nesting_limit(NESTING);
+    options.traversal_limit_in_words(Some(MAX_MESSAGE_BYTES / BYTES_PER_WORD));
+    options.nesting_limit(MAX_NESTING);
     let network = VatNetwork::new(stream.clone(), stream, Side::Server, options);
-    let calls = Rc::new(Calls::default());
+    let calls = Rc::new(CallTracker::default());
     let client: operator::Client = capnp_rpc::new_client(Connection::new(server, Rc::clone(&calls)));
     let system = RpcSystem::new(Box::new(network), Some(client.client));
     let idle = async {
-        until_idle(&calls).await;
+        wait_until_idle(&calls).await;
         Ok(())
     };
     if let Err(e) = system.or(idle).await {
-        log::debug!("A connection ended: {e}.");
+        log::debug!("Operator connection failed: {e}.");
     }
 }
 
-async fn until_idle(calls: &Calls) {
+async fn wait_until_idle(calls: &CallTracker) {
     loop {
-        let begun = calls.begun();
+        let started = calls.started();
         Timer::after(IDLE_TIMEOUT).await;
-        if calls.idle_since(begun) {
+        if calls.idle_since(started) {
             return;
         }
     }
--- a/agatetrestle/src/operator/rows.rs
+++ b/agatetrestle/src/operator/rows.rs
@@ -1,4 +1,4 @@
-//! Writes each kind of row into a message.
+//! Writes the rows of listings into Cap'n Proto messages.
 
 use agatetrestle_schema::operator_capnp::backend_status;
 use agatetrestle_schema::operator_capnp::group_status;
@@ -11,11 +11,10 @@
 use crate::programs::command::CallState;
 use crate::programs::command::ProgramView;
 
-/// Most rows of a listing, whatever the operator asks for.
 pub(super) const MAX_ROWS: u32 = 10_000;
 
-/// A list in a message counts in 32 bits; what lies beyond the bound is left out.
-pub(super) fn length(count: usize) -> u32 {
+/// Number of rows to write; those beyond [`MAX_ROWS`] are left out.
+pub(super) fn row_count(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX).min(MAX_ROWS)
 }
 
@@ -34,7 +33,7 @@
     row.set_leader(group.leader.map_or(0, |node| node.0));
     row.set_term(group.term);
     row.set_commit(group.commit);
-    let mut replicas = row.init_replicas(length(group.replicas.len()));
+    let mut replicas = row.init_replicas(row_count(group.replicas.len()));
     for (i, replica) in (0..replicas.len()).zip(&group.replicas) {
         replicas.set(i, replica.0);
     }
@@ -46,12 +45,12 @@
     row.set_team(&*view.spec.team);
     row.set_class(&*view.spec.class);
     row.set_calls(view.next_call.0.saturating_sub(1));
-    row.set_state(state(view));
+    row.set_state(program_state(view));
     row.set_spent(view.spent);
     row.set_budget(view.spec.budget);
 }
 
-fn state(view: &ProgramView) -> &'static str {
+fn program_state(view: &ProgramView) -> &'static str {
     match view.last {
         _ if view.ended => "ended",
         Some((_, CallState::Unknown, ..)) => "unknown",
--- a/agatetrestle/src/operator/tests.rs
+++ b/agatetrestle/src/operator/tests.rs
@@ -1,28 +1,28 @@
-//! Tests of the bounds on calls; the calls themselves are tested with the tool, in `agatetrestle_cli`.
+//! Tests of the limits on calls; the calls are tested with the command line tool, in `agatetrestle_cli`.
 
 use capnp::ErrorKind;
 
 use super::*;
-use crate::operator::calls::MAX_CALLS;
+use crate::operator::calls::MAX_CALLS_IN_FLIGHT;
 
 #[test]
-fn calls_beyond_the_bound_are_told_to_come_back() {
-    let calls = Rc::new(Calls::default());
-    let mut under_way: Vec<_> = (0..MAX_CALLS).map(|_| calls.begin().ok()).collect();
-    assert_eq!(calls.begin().err().map(|e| e.kind), Some(ErrorKind::Overloaded));
-    under_way.pop();
-    assert!(calls.begin().is_ok());
+fn rejects_calls_beyond_limit() {
+    let calls = Rc::new(CallTracker::default());
+    let mut in_flight: Vec<_> = (0..MAX_CALLS_IN_FLIGHT).map(|_| calls.start().ok()).collect();
+    assert_eq!(calls.start().err().map(|e| e.kind), Some(ErrorKind::Overloaded));
+    in_flight.pop();
+    assert!(calls.start().is_ok());
 }
 
 #[test]
-fn a_connection_is_idle_only_without_calls_under_way_or_since() {
-    let calls = Rc::new(Calls::default());
-    let before = calls.begun();
+fn connection_is_idle_without_calls() {
+    let calls = Rc::new(CallTracker::default());
+    let before = calls.started();
     assert!(calls.idle_since(before));
-    let call = calls.begin().ok();
+    let call = calls.start().ok();
     assert!(!calls.idle_since(before));
-    assert!(!calls.idle_since(calls.begun()));
+    assert!(!calls.idle_since(calls.started()));
     drop(call);
     assert!(!calls.idle_since(before));
-    assert!(calls.idle_since(calls.begun()));
+    assert!(calls.idle_since(calls.started()));
 }
