--- a/agatetrestle/src/metrics/mod.rs
+++ b/agatetrestle/src/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! Histograms and counters per partner and class, with the scrape endpoint.
+//! Metrics per partner and class, and the endpoint that Prometheus scrapes.
 //!
-//! [`Metrics`] takes in measures by the OpenTelemetry SDK; [`serve`] gives them out in the form that
-//! Prometheus scrapes. What each series means and what to do about it: docs/operators/metrics-and-logs.md.
+//! [`Metrics`] records measurements with the OpenTelemetry SDK; [`serve`] exports them. The series are described in
+//! docs/operators/metrics-and-logs.md.
 
 mod instruments;
 mod scrape;
@@ -30,40 +30,40 @@
 use crate::ports::Measurement;
 use crate::ports::Recorder;
 
-/// Why metrics could not be set up or written out.
+/// Why metrics can't be registered or exported.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
-    /// The exporter could not be registered.
-    #[snafu(display("metrics can't be set up: {source}"))]
-    SetUp {
-        /// What the library said.
+    /// The exporter can't be registered.
+    #[snafu(display("failed to register the exporter: {source}"))]
+    Register {
+        /// Error of the OpenTelemetry SDK.
         source: OTelSdkError,
     },
-    /// The series could not be written in the scrape format.
-    #[snafu(display("metrics can't be written: {source}"))]
-    Write {
-        /// What the library said.
+    /// The series can't be encoded in the text format.
+    #[snafu(display("failed to encode the series: {source}"))]
+    Encode {
+        /// Error of the encoder.
         source: prometheus::Error,
     },
 }
 
-/// All measures of this process.
+/// The metrics of this process.
 pub struct Metrics {
     registry: Registry,
     instruments: Instruments,
     series: RefCell<SeriesTable>,
     control: RefCell<Option<Rc<dyn Control>>>,
     freshness: RefCell<Option<Rc<dyn Freshness>>>,
-    /// Keeps the pipeline alive; the instruments refer to it weakly.
+    /// Keeps the pipeline alive, which the instruments only refer to weakly.
     _provider: SdkMeterProvider,
 }
 
 impl Metrics {
-    /// Empty measures.
+    /// Registers the instruments, without measurements.
     ///
     /// # Errors
     ///
-    /// Fails if the exporter can't be registered, which points at a fault in this build.
+    /// Fails if the exporter can't be registered, which is a bug.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -71,7 +71,7 @@
             .without_target_info()
             .scope_info_enabled(false)
             .build()
-            .context(SetUpSnafu)?;
+            .context(RegisterSnafu)?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let instruments = Instruments::new(&provider.meter("agatetrestle"));
         Ok(Self {
@@ -84,38 +84,38 @@
         })
     }
 
-    /// Lets each scrape tell what is in force and whether new work is taken.
+    /// Exports the configuration revision and whether new work is taken with each scrape.
     pub fn observe_control(&self, control: Rc<dyn Control>) {
         self.control.replace(Some(control));
     }
 
-    /// Lets each scrape tell which table of routes is in force and how long ago the leader of control confirmed it.
+    /// Exports the revision of the routes and the time since control confirmed it with each scrape.
     pub fn observe_freshness(&self, freshness: Rc<dyn Freshness>) {
         self.freshness.replace(Some(freshness));
     }
 
-    /// All series in the text form that Prometheus scrapes.
+    /// Encodes all series in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Fails if the encoder refuses a series.
+    /// Fails if a series can't be encoded.
     pub fn render(&self) -> Result<Vec<u8>, MetricsError> {
         if let Some(control) = &*self.control.borrow() {
-            self.instruments.control(&**control);
+            self.instruments.record_control(&**control);
         }
         if let Some(freshness) = &*self.freshness.borrow() {
-            self.instruments.freshness(&**freshness);
+            self.instruments.record_freshness(&**freshness);
         }
         let mut buf = Vec::new();
-        TextEncoder::new().encode(&self.registry.gather(), &mut buf).context(WriteSnafu)?;
+        TextEncoder::new().encode(&self.registry.gather(), &mut buf).context(EncodeSnafu)?;
         Ok(buf)
     }
 }
 
 impl Recorder for Metrics {
-    fn record(&self, labels: &Labels, measure: &Measurement) {
+    fn record(&self, labels: &Labels, measurement: &Measurement) {
         let mut series = self.series.borrow_mut();
-        self.instruments.record(series.of(labels), measure);
+        self.instruments.record(series.get_or_insert(labels), measurement);
     }
 
     fn record_cache(&self, held: u64, wasted: u64) {
--- a/agatetrestle/src/metrics/scrape.rs
+++ b/agatetrestle/src/metrics/scrape.rs
@@ -1,7 +1,6 @@
-//! The scrape endpoint: one request a connection, by async-h1.
+//! The scrape endpoint. Each connection serves one request.
 //!
-//! async-h1 bounds the head in total but waits for the end of a line without bound, so the bytes of
-//! a request and the time of a connection are bounded here.
+//! async-h1 does not limit the length of a line, so the size of a request and the time of a connection are limited here.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,20 +25,20 @@
 use crate::transport::observed::ObservedStream;
 use crate::transport::observed::ReadObserver;
 
-const MAX_SCRAPES: usize = 8;
-const MAX_REQUEST: usize = 8 << 10;
-const SCRAPE_TIME: Duration = Duration::from_secs(10);
+const MAX_SCRAPE_CONNECTIONS: usize = 8;
+const MAX_SCRAPE_REQUEST_BYTES: usize = 8 << 10;
+const SCRAPE_TIMEOUT: Duration = Duration::from_secs(10);
 const TEXT_FORMAT: &str = "text/plain; version=0.0.4";
 
-/// Answers `GET /metrics` for as long as it is polled.
+/// Serves `GET /metrics` until the future is dropped.
 pub async fn serve(metrics: Rc<Metrics>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
     let limiter = ConnectionLimiter::new("a scraper");
     loop {
-        let (stream, permit) = limiter.accept(&listener, || MAX_SCRAPES).await;
+        let (stream, permit) = limiter.accept(&listener, || MAX_SCRAPE_CONNECTIONS).await;
         let metrics = Rc::clone(&metrics);
         let scrape = async move {
-            if let Err(e) = answer(&metrics, stream).or(too_slow()).await {
-                log::debug!("A scrape failed: {e}.");
+            if let Err(e) = serve_connection(&metrics, stream).or(timeout()).await {
+                log::debug!("Scrape failed: {e}.");
             }
             drop(permit);
         };
@@ -47,18 +46,20 @@
     }
 }
 
-async fn too_slow() -> http_types::Result<()> {
-    Timer::after(SCRAPE_TIME).await;
-    Err(http_types::Error::from_str(StatusCode::RequestTimeout, "the scrape took too long"))
+async fn timeout() -> http_types::Result<()> {
+    Timer::after(SCRAPE_TIMEOUT).await;
+    Err(http_types::Error::from_str(StatusCode::RequestTimeout, "the scrape timed out"))
 }
 
-async fn answer(metrics: &Metrics, mut stream: TcpStream) -> http_types::Result<()> {
-    let request =
-        ObservedStream { stream: stream.clone(), observer: Bound(Arc::new(AtomicUsize::new(MAX_REQUEST))) };
+async fn serve_connection(metrics: &Metrics, mut stream: TcpStream) -> http_types::Result<()> {
+    let request = ObservedStream {
+        stream: stream.clone(),
+        observer: ByteLimit(Arc::new(AtomicUsize::new(MAX_SCRAPE_REQUEST_BYTES))),
+    };
     let (response, method) = match async_h1::server::decode(request).await {
         Ok(Some((req, _))) => (respond(metrics, req.method(), req.url().path()), req.method()),
         Ok(None) => return Ok(()),
-        Err(_) => (closing(StatusCode::BadRequest), Method::Get),
+        Err(_) => (closing_response(StatusCode::BadRequest), Method::Get),
     };
     let mut encoder = Encoder::new(response, method);
     futures::io::copy(&mut encoder, &mut stream).await?;
@@ -67,38 +68,38 @@
 
 fn respond(metrics: &Metrics, method: Method, path: &str) -> Response {
     match (method, path) {
-        (Method::Get | Method::Head, "/metrics") => series(metrics),
-        (_, "/metrics") => closing(StatusCode::MethodNotAllowed),
-        _ => closing(StatusCode::NotFound),
+        (Method::Get | Method::Head, "/metrics") => metrics_response(metrics),
+        (_, "/metrics") => closing_response(StatusCode::MethodNotAllowed),
+        _ => closing_response(StatusCode::NotFound),
     }
 }
 
-fn closing(status: StatusCode) -> Response {
+fn closing_response(status: StatusCode) -> Response {
     let mut response = Response::new(status);
     response.insert_header(CONNECTION, "close");
     response
 }
 
-fn series(metrics: &Metrics) -> Response {
+fn metrics_response(metrics: &Metrics) -> Response {
     match metrics.render() {
         Ok(body) => {
-            let mut response = closing(StatusCode::Ok);
+            let mut response = closing_response(StatusCode::Ok);
             response.set_body(body);
             response.insert_header(CONTENT_TYPE, TEXT_FORMAT);
             response
         }
         Err(e) => {
-            log::warn!("The series could not be written: {e}.");
-            closing(StatusCode::InternalServerError)
+            log::warn!("Scrape failed: {e}.");
+            closing_response(StatusCode::InternalServerError)
         }
     }
 }
 
-/// Ends a connection after a number of bytes, whoever reads from it.
+/// Bytes that may still be read from a connection, shared by all clones of its stream.
 #[derive(Clone)]
-struct Bound(Arc<AtomicUsize>);
+struct ByteLimit(Arc<AtomicUsize>);
 
-impl ReadObserver for Bound {
+impl ReadObserver for ByteLimit {
     fn max_read(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
--- a/agatetrestle/src/metrics/series.rs
+++ b/agatetrestle/src/metrics/series.rs
@@ -1,4 +1,4 @@
-//! The bounded set of label values, each with its attributes made once.
+//! Label values of the series, bounded in number, with their attributes.
 
 use std::collections::HashMap;
 
@@ -6,16 +6,16 @@
 
 use crate::ports::Labels;
 
-/// Pairs of partner and class that get series of their own; the rest is counted under [`OTHER_LABEL`].
+/// Pairs of partner and class that get their own series; all others share [`OTHER_LABEL`].
 pub const MAX_LABEL_PAIRS: usize = 256;
 
-/// Reasons that one pair may have series for; the rest is counted under [`OTHER_LABEL`].
+/// Reasons that get their own series for each pair; all others share [`OTHER_LABEL`].
 pub const MAX_REASONS_PER_PAIR: usize = 16;
 
-/// Label value for whatever came after the bounds were reached.
+/// Label value of everything beyond the bounds.
 pub const OTHER_LABEL: &str = "other";
 
-/// Attributes of one pair of partner and class.
+/// Attributes of the series of one partner and class.
 pub(super) struct Series {
     pub(super) attributes: [KeyValue; 2],
     reasons: Vec<(&'static str, [KeyValue; 3])>,
@@ -28,14 +28,14 @@
         Self { attributes, reasons: Vec::new() }
     }
 
-    /// The attributes with a reason beside them; reasons are few, so that a list is quicker than a map.
+    /// Attributes with a reason added. Reasons are few, so that a list is faster than a map.
     pub(super) fn with_reason(&mut self, reason: &'static str) -> &[KeyValue; 3] {
         let known = self.reasons.iter().position(|(name, _)| *name == reason);
-        let place = known.unwrap_or_else(|| self.add(reason));
-        &self.reasons[place].1
+        let index = known.unwrap_or_else(|| self.add_reason(reason));
+        &self.reasons[index].1
     }
 
-    fn add(&mut self, reason: &'static str) -> usize {
+    fn add_reason(&mut self, reason: &'static str) -> usize {
         if self.reasons.len() > MAX_REASONS_PER_PAIR {
             return MAX_REASONS_PER_PAIR;
         }
@@ -46,22 +46,21 @@
     }
 }
 
-/// Attributes by labels.
 #[derive(Default)]
 pub(super) struct SeriesTable {
-    known: HashMap<Labels, Series>,
+    series: HashMap<Labels, Series>,
 }
 
 impl SeriesTable {
-    pub(super) fn of(&mut self, labels: &Labels) -> &mut Series {
-        if self.known.contains_key(labels) {
-            return self.known.get_mut(labels).expect("it was there a line above");
+    pub(super) fn get_or_insert(&mut self, labels: &Labels) -> &mut Series {
+        if self.series.contains_key(labels) {
+            return self.series.get_mut(labels).expect("the key was checked above");
         }
-        let labels = if self.known.len() < MAX_LABEL_PAIRS {
+        let labels = if self.series.len() < MAX_LABEL_PAIRS {
             labels.clone()
         } else {
             Labels { partner: OTHER_LABEL.into(), class: OTHER_LABEL.into() }
         };
-        self.known.entry(labels).or_insert_with_key(Series::new)
+        self.series.entry(labels).or_insert_with_key(Series::new)
     }
 }
--- a/agatetrestle/src/metrics/tests.rs
+++ b/agatetrestle/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the measures and of the scrape endpoint.
+//! Tests of the metrics and of the scrape endpoint.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -28,9 +28,9 @@
     String::from_utf8(metrics.render().unwrap()).unwrap()
 }
 
-struct Known;
+struct FixedFreshness;
 
-impl Freshness for Known {
+impl Freshness for FixedFreshness {
     fn revision(&self) -> u64 {
         57
     }
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn every_measure_has_a_series_with_partner_and_class() {
+fn exports_all_series() {
     let metrics = Metrics::new().unwrap();
-    let one = labels("vrsta", "dawn");
+    let dawn = labels("vrsta", "dawn");
     let time = Duration::from_millis(48);
-    for measure in [
+    for measurement in [
         Measurement::ProgramLatency(time),
         Measurement::FirstToken(time),
         Measurement::BetweenTokens(time),
@@ -61,19 +61,19 @@
         Measurement::UnknownOutcome,
         Measurement::Tokens(7),
     ] {
-        metrics.record(&one, &measure);
+        metrics.record(&dawn, &measurement);
     }
     metrics.record_cache(100, 3);
     metrics.record_malformed(2);
     metrics.record_report("timeout", time);
-    metrics.observe_freshness(Rc::new(Known));
+    metrics.observe_freshness(Rc::new(FixedFreshness));
     let text = rendered(&metrics);
     let kept = text.lines().filter(|line| !line.contains("_bucket{"));
     insta::assert_snapshot!(kept.collect::<Vec<_>>().join("\n"));
 }
 
 #[test]
-fn a_gap_at_the_target_falls_into_the_bucket_of_the_target() {
+fn counts_gap_at_target_in_target_bucket() {
     let metrics = Metrics::new().unwrap();
     metrics.record(&labels("vrsta", "dawn"), &Measurement::BetweenTokens(Duration::from_millis(48)));
     let buckets = lines_of(&rendered(&metrics), "agatetrestle_between_tokens_seconds_bucket");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn labels_beyond_the_bound_share_one_series() {
+fn labels_beyond_limit_share_one_series() {
     let metrics = Metrics::new().unwrap();
     for i in 0..MAX_LABEL_PAIRS + 50 {
         metrics.record(&labels("lernwerk", &format!("class-{i}")), &Measurement::UnknownOutcome);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn reasons_beyond_the_bound_share_one_series() {
+fn reasons_beyond_limit_share_one_series() {
     const NAMES: [&str; 20] =
         ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r", "s", "t"];
     let metrics = Metrics::new().unwrap();
@@ -111,7 +111,7 @@
     assert!(other.ends_with(" 4"), "{other}");
 }
 
-/// A control group in which nothing is in force and no work may be taken, until it is confirmed.
+/// A control group without a configuration, which takes no work until it is confirmed.
 #[derive(Default)]
 struct FakeControl {
     confirmed: Cell<bool>,
@@ -119,7 +119,7 @@
 
 impl Control for FakeControl {
     fn commit(&self, _: ControlCommand) -> LocalBoxFuture<'_, Result<ControlReply, GroupError>> {
-        Box::pin(async { Err(GroupError::NotProposed { reason: "not asked for here".into() }) })
+        Box::pin(async { Err(GroupError::NotProposed { reason: "not supported by the fake".into() }) })
     }
 
     fn configuration(&self) -> Arc<Configuration> {
@@ -133,18 +133,18 @@
 }
 
 #[test]
-fn each_scrape_tells_what_is_in_force_and_whether_work_is_taken() {
+fn scrape_reports_revision_and_readiness() {
     let metrics = Metrics::new().unwrap();
     let control = Rc::new(FakeControl::default());
     metrics.observe_control(control.clone());
-    let told = |metrics: &Metrics| {
+    let gauges = |metrics: &Metrics| {
         let text = rendered(metrics);
         let names = ["agatetrestle_configuration_revision", "agatetrestle_taking_work"];
         names.map(|name| lines_of(&text, name).concat())
     };
-    assert_eq!(told(&metrics), ["agatetrestle_configuration_revision 0", "agatetrestle_taking_work 0"]);
+    assert_eq!(gauges(&metrics), ["agatetrestle_configuration_revision 0", "agatetrestle_taking_work 0"]);
     control.confirmed.set(true);
-    assert_eq!(told(&metrics), ["agatetrestle_configuration_revision 7", "agatetrestle_taking_work 1"]);
+    assert_eq!(gauges(&metrics), ["agatetrestle_configuration_revision 7", "agatetrestle_taking_work 1"]);
 }
 
 fn exchange(request: &[u8]) -> String {
@@ -157,33 +157,33 @@
         executor.spawn(serve(metrics, listener, Rc::clone(&executor))).detach();
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(request).await.ok();
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).await.ok();
-        String::from_utf8(answer).unwrap()
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response).await.ok();
+        String::from_utf8(response).unwrap()
     }))
 }
 
 #[test]
-fn a_scrape_gets_the_series_and_the_connection_is_closed() {
-    let answer = exchange(b"GET /metrics HTTP/1.1\r\nHost: node\r\n\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
-    assert!(answer.contains("text/plain; version=0.0.4"), "{answer}");
-    assert!(answer.contains("agatetrestle_unknown_total{"), "{answer}");
+fn scrape_returns_series_and_closes_connection() {
+    let response = exchange(b"GET /metrics HTTP/1.1\r\nHost: node\r\n\r\n");
+    assert!(response.starts_with("HTTP/1.1 200 OK\r\n"), "{response}");
+    assert!(response.contains("text/plain; version=0.0.4"), "{response}");
+    assert!(response.contains("agatetrestle_unknown_total{"), "{response}");
 }
 
 #[test]
-fn other_paths_and_methods_are_refused() {
+fn rejects_other_paths_and_methods() {
     assert!(exchange(b"GET / HTTP/1.1\r\nHost: node\r\n\r\n").starts_with("HTTP/1.1 404"));
     assert!(exchange(b"DELETE /metrics HTTP/1.1\r\nHost: node\r\n\r\n").starts_with("HTTP/1.1 405"));
 }
 
 #[test]
-fn a_malformed_head_is_refused() {
+fn rejects_malformed_head() {
     assert!(exchange(b"no head at all\r\n\r\n").starts_with("HTTP/1.1 400"));
 }
 
 #[test]
-fn a_line_without_end_is_cut_off() {
-    let answer = exchange(&vec![b'a'; 64 << 10]);
-    assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 400"), "{answer}");
+fn closes_connection_on_endless_line() {
+    let response = exchange(&vec![b'a'; 64 << 10]);
+    assert!(response.is_empty() || response.starts_with("HTTP/1.1 400"), "{response}");
 }
