--- a/agatetrestle/src/cli.rs
+++ b/agatetrestle/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command line of the daemon.
+//! The daemon's command line.
 
 use std::path::PathBuf;
 
@@ -9,10 +9,10 @@
 
 use crate::node::replicas::MissingFiles;
 
-/// What the daemon is told on its command line; everything else stands in the settings file.
+/// Command line options of the daemon; everything else is in the settings file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Options {
-    /// The settings file.
+    /// Path of the settings file.
     pub config: PathBuf,
     /// Whether to check the settings and exit.
     pub check: bool,
@@ -23,7 +23,7 @@
 }
 
 impl Options {
-    /// The parser, from which the manual page is made too.
+    /// The parser, which also generates the manual page.
     #[must_use]
     pub fn parser() -> OptionParser<Self> {
         let config = long("config")
@@ -42,8 +42,7 @@
             .descr("scheduler for agent programs: the daemon")
     }
 
-    /// What to do where a group's files are missing; both flags together are taken for joining, which
-    /// can do no harm.
+    /// What to do if a group's files are missing. With both flags the node joins, which is the safe choice.
     #[must_use]
     pub fn missing_files(&self) -> MissingFiles {
         match (self.bootstrap, self.join) {
@@ -53,7 +52,7 @@
         }
     }
 
-    /// Reads the process's own arguments; prints help, version or a usage error and exits where asked.
+    /// Parses the arguments of the process; exits after printing help, the version or a usage error.
     #[must_use]
     pub fn from_args() -> Self {
         Self::parser().run()
--- a/agatetrestle/src/cli/tests.rs
+++ b/agatetrestle/src/cli/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_settings_file_is_required() {
+fn requires_settings_file() {
     assert!(parse(&["--check"]).is_err());
     let options = parse(&["--config", "node.yaml", "--check"]).unwrap();
     let expected = Options { config: "node.yaml".into(), check: true, bootstrap: false, join: false };
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn missing_files_are_refused_unless_a_flag_says_otherwise() {
+fn refuses_missing_files_without_flags() {
     let missing =
         |flags: &[&str]| parse(&[&["--config", "node.yaml"], flags].concat()).unwrap().missing_files();
     assert_eq!(missing(&[]), MissingFiles::Refuse);
@@ -24,20 +24,20 @@
 }
 
 #[test]
-fn an_unknown_option_is_refused() {
+fn rejects_unknown_options() {
     assert!(parse(&["--config", "node.yaml", "--chekc"]).is_err());
 }
 
 #[test]
-fn help_names_every_option() {
+fn help_lists_all_options() {
     let help = parse(&["--help"]).unwrap_err().unwrap_stdout();
     insta::assert_snapshot!(help);
 }
 
 #[test]
-fn the_manual_page_is_up_to_date() {
+fn manual_page_is_up_to_date() {
     let page =
         Options::parser().render_manpage("agatetrestled", bpaf::doc::Section::Sysadmin, None, None, None);
     let committed = include_str!("../../../extra/man/agatetrestled.8");
-    assert_eq!(page, committed, "remake it by cargo run -p agatetrestle --example daemon_manual");
+    assert_eq!(page, committed, "regenerate it with cargo run -p agatetrestle --example daemon_manual");
 }
--- a/agatetrestle/src/clock.rs
+++ b/agatetrestle/src/clock.rs
@@ -1,15 +1,15 @@
-//! Time as the pure state machines see it: a number that their driver passes in.
+//! Timestamps that drivers pass to the pure state machines, and the clock that they read.
 
 use std::ops::Add;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Microseconds since an origin that the driver chose; it never runs backwards within a process.
+/// Microseconds since an origin that the driver chooses; monotonic within a process.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// Time since `earlier`, or zero if that lies ahead.
+    /// Time since `earlier`, or zero if that is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -19,25 +19,25 @@
 impl Add<Duration> for Timestamp {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        Self(self.0.saturating_add(micros(span)))
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(micros(duration)))
     }
 }
 
-/// A span in whole microseconds, at most what fits.
+/// Converts to whole microseconds, saturating.
 #[must_use]
-pub fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+pub fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// The process's monotonic clock.
+/// A monotonic clock that counts from its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at zero.
     #[must_use]
     pub fn start() -> Self {
         Self { origin: Instant::now() }
--- a/agatetrestle/src/codec.rs
+++ b/agatetrestle/src/codec.rs
@@ -1,5 +1,5 @@
-//! Coding of commands, replies and snapshots in CBOR, which describes itself and so lets a newer
-//! build read what an older one wrote; see docs/design/001-replicated-log-and-groups.md.
+//! Encodes commands, replies and snapshots as CBOR, which is self-describing, so that newer builds can read what older ones
+//! wrote; see docs/design/001-replicated-log-and-groups.md.
 
 use std::fmt;
 use std::io::Read as _;
@@ -19,31 +19,31 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// Bytes that are not what was expected.
+/// The bytes are not a valid encoding of the expected type.
 #[derive(Debug, Snafu)]
 #[snafu(display("the bytes can't be decoded: {source}"))]
 pub struct DecodeError {
     source: ciborium::de::Error<std::io::Error>,
 }
 
-/// Codes a value.
+/// Encodes a value.
 ///
 /// # Panics
 ///
-/// Never for the types of this crate: coding them into memory can't fail.
+/// Never for the types of this crate: encoding them into memory can't fail.
 #[must_use]
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     encode_with_capacity(value, 0)
 }
 
-/// Codes a value into a buffer that has room for so many bytes, so that a large value is not copied as it grows.
+/// Encodes a value into a buffer with this initial capacity, so that the buffer of a large value need not grow.
 ///
 /// # Panics
 ///
 /// As [`encode`].
 #[must_use]
-pub fn encode_with_capacity<T: Serialize>(value: &T, room: usize) -> Vec<u8> {
-    let mut buf = Vec::with_capacity(room);
+pub fn encode_with_capacity<T: Serialize>(value: &T, capacity: usize) -> Vec<u8> {
+    let mut buf = Vec::with_capacity(capacity);
     ciborium::into_writer(value, &mut buf).expect("writing to memory does not fail");
     buf
 }
@@ -52,38 +52,38 @@
 ///
 /// # Errors
 ///
-/// Fails if the bytes are torn or of another shape.
+/// Fails if the bytes are truncated or encode another type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     ciborium::from_reader(bytes).map_err(|source| DecodeError { source })
 }
 
-/// A coded value, compressed. Lists that are told to hundreds of processes are packed once and shared by all answers.
+/// An encoded and compressed value. Lists for hundreds of processes are compressed once and shared by all responses.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Compressed(Blob);
 
-/// Compressed bytes that can't be unpacked into what was expected.
+/// Why a compressed value can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum DecompressError {
-    /// They are no compressed bytes, or more than any list takes.
-    #[snafu(display("the bytes can't be inflated: {source}"))]
+    /// The bytes are not compressed data.
+    #[snafu(display("failed to decompress: {source}"))]
     Inflate {
-        /// What the library said.
+        /// Error of the decompressor.
         source: std::io::Error,
     },
-    /// What they hold is of another shape.
+    /// The decompressed bytes encode another type, or exceed the size limit.
     #[snafu(display("{source}"))]
-    Shape {
-        /// What the decoder said.
+    InvalidValue {
+        /// Error of the decoder.
         source: DecodeError,
     },
 }
 
-/// Most bytes that packed ones may come to: a table of ten thousand routes takes a third of it.
+/// Limits what a small message can expand to; a table of ten thousand routes takes a third of it.
 const MAX_DECOMPRESSED_BYTES: u64 = 16 << 20;
 
 impl Compressed {
-    /// Codes and compresses a value.
+    /// Encodes and compresses a value.
     ///
     /// # Panics
     ///
@@ -96,38 +96,38 @@
         Self(Blob::from(&bytes[..]))
     }
 
-    /// The value.
+    /// Decompresses and decodes the value.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are torn or of another shape.
+    /// Fails if the bytes are damaged or encode another type.
     pub fn decompress<T: DeserializeOwned>(&self) -> Result<T, DecompressError> {
         let mut bytes = Vec::new();
         let inflated = DeflateDecoder::new(&self.0[..]).take(MAX_DECOMPRESSED_BYTES).read_to_end(&mut bytes);
         inflated.context(InflateSnafu)?;
-        decode(&bytes).context(ShapeSnafu)
+        decode(&bytes).context(InvalidValueSnafu)
     }
 
-    /// Compressed bytes.
+    /// Size of the compressed bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         self.0.len()
     }
 }
 
-/// Shared bytes that are coded as one byte string, not as a list of numbers. They may be the end of a longer run of
-/// bytes, which they then keep alive.
+/// Shared bytes that are encoded as one byte string, not as a list of numbers. They may be the tail of a larger allocation,
+/// which they keep alive.
 #[derive(Clone, Debug)]
 pub struct Blob {
     shared: Arc<[u8]>,
-    from: usize,
+    offset: usize,
 }
 
 impl Blob {
-    /// The bytes of a run from an offset on; none where the run is shorter.
+    /// The bytes from an offset to the end; empty if the offset lies beyond the end.
     #[must_use]
-    pub fn tail(shared: &Arc<[u8]>, from: usize) -> Self {
-        Self { shared: shared.clone(), from: from.min(shared.len()) }
+    pub fn tail(shared: &Arc<[u8]>, offset: usize) -> Self {
+        Self { shared: shared.clone(), offset: offset.min(shared.len()) }
     }
 }
 
@@ -141,7 +141,7 @@
     type Target = [u8];
 
     fn deref(&self) -> &[u8] {
-        &self.shared[self.from..]
+        &self.shared[self.offset..]
     }
 }
 
@@ -149,7 +149,7 @@
 
 impl From<&[u8]> for Blob {
     fn from(bytes: &[u8]) -> Self {
-        Self { shared: bytes.into(), from: 0 }
+        Self { shared: bytes.into(), offset: 0 }
     }
 }
 
--- a/agatetrestle/src/lib.rs
+++ b/agatetrestle/src/lib.rs
@@ -1,7 +1,7 @@
-//! Scheduler for agent programs: the slices of the daemon.
+//! Scheduler for agent programs: the modules of the daemon.
 //!
-//! Each folder is one duty with its own state, messages and tests. The slices that decide are pure:
-//! time and randomness come in as arguments. Start with docs/design/README.md.
+//! Each folder has one responsibility with its own state, messages and tests. Modules that make decisions are pure: time and
+//! randomness are passed in. Start with docs/design/README.md.
 
 pub mod admission;
 pub mod agreement;
--- a/agatetrestle/src/logging.rs
+++ b/agatetrestle/src/logging.rs
@@ -1,6 +1,4 @@
-//! Set-up of the logs: one line an event, with a fixed prefix for the part of the daemon it comes from.
-//!
-//! The prefix is the slice's name, taken from the log target, so that no call has to repeat it; see
+//! Initializes logging. Each line starts with the name of the module that logged it, taken from the log target; see
 //! docs/operators/metrics-and-logs.md.
 
 mod queue;
@@ -25,34 +23,34 @@
 
 use crate::logging::queue::QueueWriter;
 
-/// Why the logs could not be set up.
+/// Why logging can't be initialized.
 #[derive(Debug, Snafu)]
 pub enum LoggingError {
-    /// The specification of levels can't be read.
+    /// The level specification is invalid.
     #[snafu(display("logging.level: {source}"))]
     Level {
-        /// What the library expected.
+        /// Error of the logging library.
         source: FlexiLoggerError,
     },
-    /// No thread can be started to write the lines.
-    #[snafu(display("logging: no thread can be started: {source}"))]
+    /// The writer thread can't be started.
+    #[snafu(display("logging: failed to start the writer thread: {source}"))]
     Thread {
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The folder can't be written, or a logger was started before.
+    /// The folder is not writable, or a logger is already running.
     #[snafu(display("logging: {source}"))]
     Start {
-        /// What the library said.
+        /// Error of the logging library.
         source: FlexiLoggerError,
     },
 }
 
-/// Starts the logs; they are flushed when the handle is dropped.
+/// Starts the logger, which is flushed when the handle is dropped.
 ///
 /// # Errors
 ///
-/// Fails if the levels can't be read, the folder can't be written or logs were started before.
+/// Fails if the levels are invalid, the folder is not writable or a logger is already running.
 pub fn init(logging: &Logging) -> Result<LoggerHandle, LoggingError> {
     let format: FormatFunction = if logging.json { json_line } else { text_line };
     let logger = Logger::try_with_str(&logging.level).context(LevelSnafu)?.format(format);
@@ -67,37 +65,36 @@
     logger.start().context(StartSnafu)
 }
 
-/// Starts the logs of a deployment's process, as lines on the standard output stream. They never hold up the process;
-/// see [`queue`].
+/// Starts a logger that writes lines to standard output and never blocks the process; see [`queue`].
 ///
 /// # Errors
 ///
-/// Fails as [`init`] does, and if no thread can be started.
+/// Fails if the levels are invalid, the writer thread can't be started or a logger is already running.
 pub fn init_on_stdout(level: &str) -> Result<LoggerHandle, LoggingError> {
     let writer = QueueWriter::start(Box::new(io::stdout())).context(ThreadSnafu)?;
     let logger = Logger::try_with_str(level).context(LevelSnafu)?.log_to_writer(Box::new(writer));
     logger.start().context(StartSnafu)
 }
 
-/// The part that a log target belongs to: the slice of the daemon, or the name of a library.
-fn part(target: &str) -> &str {
+/// Top-level module of the daemon that a log target belongs to, or the name of a library.
+fn module_name(target: &str) -> &str {
     let mut names = target.split("::");
     match (names.next(), names.next()) {
-        (Some("agatetrestle"), Some(slice)) => slice,
+        (Some("agatetrestle"), Some(module)) => module,
         (Some(library), _) => library,
         (None, _) => target,
     }
 }
 
-const TIME: &str = "%Y-%m-%dT%H:%M:%S%.6fZ";
+const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.6fZ";
 
 fn text_line(w: &mut dyn Write, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-    let time = now.now_utc_owned().format(TIME);
-    write!(w, "{time} {:5} {}: {}", record.level(), part(record.target()), record.args())
+    let time = now.now_utc_owned().format(TIME_FORMAT);
+    write!(w, "{time} {:5} {}: {}", record.level(), module_name(record.target()), record.args())
 }
 
 #[derive(Serialize)]
-struct Line<'a> {
+struct JsonLine<'a> {
     time: &'a str,
     level: &'a str,
     part: &'a str,
@@ -105,10 +102,10 @@
 }
 
 fn json_line(w: &mut dyn Write, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-    let line = Line {
-        time: &now.now_utc_owned().format(TIME).to_string(),
+    let line = JsonLine {
+        time: &now.now_utc_owned().format(TIME_FORMAT).to_string(),
         level: record.level().as_str(),
-        part: part(record.target()),
+        part: module_name(record.target()),
         message: &record.args().to_string(),
     };
     serde_json::to_writer(w, &line).map_err(io::Error::from)
--- a/agatetrestle/src/logging/queue.rs
+++ b/agatetrestle/src/logging/queue.rs
@@ -1,7 +1,7 @@
-//! Log lines that never hold up the process that writes them.
+//! A log writer that never blocks the process.
 //!
-//! Lines gather in a bounded queue, and a thread writes them out a few times a second, many with one call. Where the reader
-//! is slower than the process, the newest lines are lost and counted, and the next line that is written says how many.
+//! Lines are added to a bounded queue, and a thread writes them out in batches. If the reader of the output is too slow, the
+//! newest lines are dropped, and the next batch says how many.
 
 use std::io;
 use std::io::Write;
@@ -19,37 +19,37 @@
 
 use crate::logging::text_line;
 
-/// Bytes that wait at the most: some seconds of an entry's lines under full load, and a hundredth of the smallest memory.
-const ROOM: usize = 512 << 10;
-/// Time for which lines gather before they are written out.
-const GATHER: Duration = Duration::from_millis(200);
+/// Holds some seconds of an entry's lines under full load.
+const MAX_QUEUE_BYTES: usize = 512 << 10;
+/// Time for which lines are collected before they are written.
+const BATCH_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Default)]
-struct Waiting {
+struct Queue {
     bytes: Vec<u8>,
-    lost: u64,
+    dropped: u64,
 }
 
 struct Shared {
-    waiting: Mutex<Waiting>,
-    filled: Condvar,
+    queue: Mutex<Queue>,
+    not_empty: Condvar,
     out: Mutex<Box<dyn Write + Send>>,
 }
 
-/// The queue before an output.
+/// Queues lines for a thread that writes them to an output.
 pub(super) struct QueueWriter(Arc<Shared>);
 
 impl QueueWriter {
-    /// Starts the thread that writes out.
+    /// Starts the writer thread.
     ///
     /// # Errors
     ///
-    /// Fails if no thread can be started.
+    /// Fails if the thread can't be started.
     pub(super) fn start(out: Box<dyn Write + Send>) -> io::Result<Self> {
         let shared =
-            Arc::new(Shared { waiting: Mutex::default(), filled: Condvar::new(), out: Mutex::new(out) });
-        let writing = shared.clone();
-        thread::Builder::new().name("logs".into()).spawn(move || writing.write_forever())?;
+            Arc::new(Shared { queue: Mutex::default(), not_empty: Condvar::new(), out: Mutex::new(out) });
+        let writer = shared.clone();
+        thread::Builder::new().name("logs".into()).spawn(move || writer.write_forever())?;
         Ok(Self(shared))
     }
 }
@@ -69,43 +69,43 @@
 }
 
 impl Shared {
-    /// A panic elsewhere leaves whole lines behind, so a poisoned lock is used on.
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Ignores poisoning, since a panic leaves only complete lines in the queue.
+    fn lock(&self) -> MutexGuard<'_, Queue> {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn push(&self, line: &[u8]) {
-        let mut waiting = self.lock();
-        if waiting.bytes.len() + line.len() > ROOM {
-            waiting.lost += 1;
+        let mut queue = self.lock();
+        if queue.bytes.len() + line.len() > MAX_QUEUE_BYTES {
+            queue.dropped += 1;
             return;
         }
-        let first = waiting.bytes.is_empty();
-        waiting.bytes.extend_from_slice(line);
-        drop(waiting);
-        if first {
-            self.filled.notify_one();
+        let was_empty = queue.bytes.is_empty();
+        queue.bytes.extend_from_slice(line);
+        drop(queue);
+        if was_empty {
+            self.not_empty.notify_one();
         }
     }
 
     fn write_forever(&self) {
         loop {
-            let mut waiting = self.lock();
-            while waiting.bytes.is_empty() {
-                waiting = self.filled.wait(waiting).unwrap_or_else(PoisonError::into_inner);
+            let mut queue = self.lock();
+            while queue.bytes.is_empty() {
+                queue = self.not_empty.wait(queue).unwrap_or_else(PoisonError::into_inner);
             }
-            drop(waiting);
-            thread::sleep(GATHER);
-            // Nobody is left to tell if the output itself fails.
+            drop(queue);
+            thread::sleep(BATCH_INTERVAL);
+            // A failure of the log output can't be logged.
             let _ = self.write_out();
         }
     }
 
     fn write_out(&self) -> io::Result<()> {
         let mut out = self.out.lock().unwrap_or_else(PoisonError::into_inner);
-        let Waiting { mut bytes, lost } = std::mem::take(&mut *self.lock());
-        if lost > 0 {
-            bytes.extend_from_slice(format!("WARN  logging: {lost} lines were lost.\n").as_bytes());
+        let Queue { mut bytes, dropped } = std::mem::take(&mut *self.lock());
+        if dropped > 0 {
+            bytes.extend_from_slice(format!("WARN  logging: {dropped} lines were lost.\n").as_bytes());
         }
         out.write_all(&bytes)?;
         out.flush()
--- a/agatetrestle/src/logging/tests.rs
+++ b/agatetrestle/src/logging/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the log lines.
+//! Tests of the format and the queueing of log lines.
 
 use log::Level;
 
@@ -13,21 +13,21 @@
 }
 
 #[test]
-fn the_prefix_is_the_part_that_the_target_names() {
-    assert_eq!(part("agatetrestle::agreement::driver"), "agreement");
-    assert_eq!(part("agatetrestle::logging"), "logging");
-    assert_eq!(part("agatetrestle"), "agatetrestle");
-    assert_eq!(part("capnp_rpc::rpc"), "capnp_rpc");
+fn prefix_is_module_of_target() {
+    assert_eq!(module_name("agatetrestle::agreement::driver"), "agreement");
+    assert_eq!(module_name("agatetrestle::logging"), "logging");
+    assert_eq!(module_name("agatetrestle"), "agatetrestle");
+    assert_eq!(module_name("capnp_rpc::rpc"), "capnp_rpc");
 }
 
 #[test]
-fn a_text_line_holds_level_prefix_and_sentence() {
+fn text_line_has_level_prefix_and_message() {
     let line = line(text_line, "agatetrestle::members::beat");
     assert!(line.ends_with(" WARN  members: A \"quoted\" name."), "{line}");
 }
 
 #[test]
-fn a_json_line_is_one_object() {
+fn json_line_is_one_object() {
     let line = line(json_line, "agatetrestle::entry");
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(value["part"], "entry");
@@ -37,15 +37,15 @@
 }
 
 #[test]
-fn a_wrong_level_is_a_typed_error() {
+fn rejects_invalid_level() {
     let logging = Logging { level: "info, agatetrestle::entry=loud".into(), ..Logging::default() };
     assert!(matches!(init(&logging), Err(LoggingError::Level { .. })));
 }
 
-/// An output that takes nothing before it is let.
-struct Stuck(std::sync::mpsc::Receiver<()>, std::sync::mpsc::Sender<Vec<u8>>);
+/// An output whose writes block until the test permits them.
+struct BlockingOutput(std::sync::mpsc::Receiver<()>, std::sync::mpsc::Sender<Vec<u8>>);
 
-impl Write for Stuck {
+impl Write for BlockingOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.recv().map_err(io::Error::other)?;
         self.1.send(bytes.to_vec()).map_err(io::Error::other)?;
@@ -58,28 +58,28 @@
 }
 
 #[test]
-fn a_reader_that_stops_reading_costs_lines_and_never_time() {
+fn drops_lines_when_output_blocks() {
     use flexi_logger::writers::LogWriter;
 
-    let (let_go, waits) = std::sync::mpsc::channel();
+    let (permit, permits) = std::sync::mpsc::channel();
     let (tx, written) = std::sync::mpsc::channel();
-    let queue = QueueWriter::start(Box::new(Stuck(waits, tx))).unwrap();
-    let say = |text: &str| {
+    let queue = QueueWriter::start(Box::new(BlockingOutput(permits, tx))).unwrap();
+    let log = |text: &str| {
         let args = format_args!("{text}");
         let record = Record::builder().level(Level::Info).target("agatetrestle::gateway").args(args).build();
         queue.write(&mut DeferredNow::new(), &record).unwrap();
     };
-    // Far more than the queue holds; each call returns though nobody reads.
+    // More lines than the queue holds; each call returns although the output blocks.
     for _ in 0..20_000 {
-        say("a line of some length that stands for one request of a caller");
+        log("a line of some length that stands for one request of a caller");
     }
-    // The first piece is written out, and with it what came while it was stuck.
+    // The first batch is written, then what was queued while the output blocked.
     let mut text = String::new();
     while !text.contains(" lines were lost.") {
-        let_go.send(()).unwrap();
+        permit.send(()).unwrap();
         text.push_str(&String::from_utf8(written.recv().unwrap()).unwrap());
-        say("one more");
+        log("one more");
     }
-    assert!(text.starts_with(|first: char| first.is_ascii_digit()), "lines begin with their time");
-    assert!(text.len() < 2 << 20, "what waits is bounded");
+    assert!(text.starts_with(|first: char| first.is_ascii_digit()), "lines start with their time");
+    assert!(text.len() < 2 << 20, "the queue is bounded");
 }
--- a/agatetrestle/src/main.rs
+++ b/agatetrestle/src/main.rs
@@ -20,7 +20,7 @@
     let options = Options::from_args();
     let settings = match Settings::load(&options.config) {
         Ok(settings) => settings,
-        Err(failure) => return refuse(&failure),
+        Err(error) => return exit_with_error(&error),
     };
     if options.check {
         println!("{}: the settings are valid", options.config.display());
@@ -28,21 +28,21 @@
     }
     let _logger = match logging::init(&settings.logging) {
         Ok(logger) => logger,
-        Err(failure) => return refuse(&failure),
+        Err(error) => return exit_with_error(&error),
     };
     let executor = Rc::new(LocalExecutor::new());
     match smol::block_on(executor.run(run(settings, executor.clone(), options.missing_files()))) {
         Ok(code) => code,
-        Err(failure) => refuse(&failure),
+        Err(error) => exit_with_error(&error),
     }
 }
 
-fn refuse(failure: &dyn std::error::Error) -> ExitCode {
-    eprintln!("agatetrestled: {failure}");
+fn exit_with_error(error: &dyn std::error::Error) -> ExitCode {
+    eprintln!("agatetrestled: {error}");
     ExitCode::FAILURE
 }
 
-/// Runs the node until a signal asks it to stop; a second signal stops it at once.
+/// Runs the node until a signal requests a graceful stop; a second signal stops it at once.
 async fn run(
     settings: Settings,
     executor: Rc<LocalExecutor<'static>>,
@@ -51,18 +51,18 @@
     let listeners = Listeners::bind(&settings.listen).await?;
     let mut signals = match Signals::new([Signal::Term, Signal::Int]) {
         Ok(signals) => signals,
-        Err(failure) => return Ok(refuse(&failure)),
+        Err(error) => return Ok(exit_with_error(&error)),
     };
     let node = Node::start(settings, listeners, executor, missing).await?;
     signals.next().await;
-    let finished = Rc::new(Cell::new(false));
-    let outcome = finished.clone();
+    let stopped = Rc::new(Cell::new(false));
+    let outcome = stopped.clone();
     let stop = async {
         outcome.set(node.stop().await);
     };
-    let second = async {
+    let second_signal = async {
         signals.next().await;
     };
-    smol::future::or(stop, second).await;
-    Ok(if finished.get() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    smol::future::or(stop, second_signal).await;
+    Ok(if stopped.get() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/agatetrestle/src/ports.rs
+++ b/agatetrestle/src/ports.rs
@@ -1,4 +1,4 @@
-//! Traits at the borders between slices, so that each is tested with a small fake of the others.
+//! Traits between modules, so that each can be tested with fakes of the others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,34 +18,34 @@
 use crate::programs::command::ProgramReply;
 use crate::programs::command::QueryReply;
 
-/// Why a replicated group gave no reply.
+/// Why a replicated group returned no reply.
 #[derive(Clone, Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum GroupError {
-    /// The command did not enter the log and never will.
+    /// The command is not in the log and will not be applied.
     #[snafu(display("no quorum took the command: {reason}"))]
     NotProposed {
-        /// What stood in the way, for logs.
+        /// Cause, for logs.
         reason: Arc<str>,
     },
-    /// The command may yet be applied.
+    /// The outcome is unknown: the command may still be applied.
     #[snafu(display("the command may yet be applied: {reason}"))]
     Unknown {
-        /// What happened, for logs.
+        /// Cause, for logs.
         reason: Arc<str>,
     },
 }
 
-/// The ledger as the entry sees it: committed through the state group of the program.
+/// The program ledger, which is replicated by the state group of each program.
 pub trait Ledger {
-    /// Commits a command and returns the reply of the ledger.
+    /// Commits a command and returns the ledger's reply.
     fn commit(&self, command: ProgramCommand) -> LocalBoxFuture<'_, Result<ProgramReply, GroupError>>;
 
-    /// Answers a query as of now.
+    /// Answers a query with a linearizable read.
     fn query(&self, query: ProgramQuery) -> LocalBoxFuture<'_, Result<QueryReply, GroupError>>;
 }
 
-/// The control group as operators and members see it.
+/// Access to the control group for operators and members.
 pub trait Control {
     /// Commits a command and returns its reply.
     fn commit(&self, command: ControlCommand) -> LocalBoxFuture<'_, Result<ControlReply, GroupError>>;
@@ -57,25 +57,25 @@
     ///
     /// # Errors
     ///
-    /// Says why not.
+    /// Fails with the reason why not.
     fn taking_work(&self) -> Result<(), NotTakingWork>;
 }
 
 /// Why a node takes no new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum NotTakingWork {
-    /// No quorum confirmed the configuration since the start.
+    /// No quorum has confirmed the configuration since the start.
     #[snafu(display("the configuration has not been confirmed since the start"))]
     Starting,
-    /// The lease on the configuration has run out.
+    /// The lease on the configuration has expired.
     #[snafu(display("the lease on the configuration has run out"))]
     Isolated,
-    /// The node is about to stop.
+    /// The node is shutting down.
     #[snafu(display("the node is stopping"))]
     Stopping,
 }
 
-/// A node as other slices see it.
+/// A node in listings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MemberView {
     /// The node.
@@ -86,24 +86,24 @@
     pub failure_domain: Arc<str>,
     /// Its region.
     pub region: Arc<str>,
-    /// Incarnation, higher after each restart.
+    /// Increases with each restart.
     pub incarnation: u64,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: Arc<str>,
-    /// Whether it takes new work as far as is known.
+    /// Whether it is believed to take new work.
     pub live: bool,
-    /// State for people: `live`, `stopping`, `silent` or `leaving`.
+    /// State for display: `live`, `stopping`, `silent` or `leaving`.
     pub state: Arc<str>,
-    /// Newest control revision in force on it.
+    /// Latest control revision in force on it.
     pub revision: u64,
 }
 
-/// The members as the entry and operators see them.
+/// Access to the membership for the entry and operators.
 pub trait Members {
     /// All known nodes.
     fn members(&self) -> Vec<MemberView>;
 
-    /// An ordered short list of caller addresses for a program, or for a new one.
+    /// A short list of caller addresses in order of preference, for a program or for a new one.
     fn addresses(&self, program: Option<&ProgramId>) -> Vec<Arc<str>>;
 }
 
@@ -114,17 +114,17 @@
     pub name: Arc<str>,
     /// `engine` or `service`.
     pub kind: Arc<str>,
-    /// IP number and port.
+    /// IP address and port.
     pub address: Arc<str>,
     /// `ready`, `leaving` or `ejected`.
     pub state: Arc<str>,
-    /// This node's calls in service there.
+    /// Calls of this node that it is serving.
     pub running: u32,
-    /// Calls waiting there by its last report.
+    /// Calls in its queue by its last report.
     pub waiting: u32,
 }
 
-/// The backend servers as operators see them.
+/// Access to the backend servers for operators.
 pub trait Backends {
     /// All declared backend servers.
     fn backends(&self) -> Vec<BackendView>;
@@ -135,9 +135,9 @@
 pub struct GroupView {
     /// The group.
     pub group: GroupId,
-    /// Its leader if known.
+    /// Its leader, if known.
     pub leader: Option<NodeId>,
-    /// Newest term seen.
+    /// Latest term seen.
     pub term: u64,
     /// Highest committed index known.
     pub commit: u64,
@@ -145,12 +145,12 @@
     pub replicas: Vec<NodeId>,
 }
 
-/// The groups of which this node holds a replica, as operators see them.
+/// Access to the groups that this node has replicas of, for operators.
 pub trait Groups {
-    /// All of them.
+    /// All groups with a replica on this node.
     fn groups(&self) -> Vec<GroupView>;
 
-    /// Changes who takes part in a group, one change at a time; only its leader can.
+    /// Changes the membership of a group, one change at a time. Only the group's leader can.
     fn change(&self, group: GroupId, _change: ReplicaChange) -> LocalBoxFuture<'_, Result<(), ChangeError>> {
         Box::pin(async move { Err(ChangeError::NoReplica { group }) })
     }
@@ -160,7 +160,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ChangeError {
-    /// This node holds no replica of the group.
+    /// This node has no replica of the group.
     #[snafu(display("this node holds no replica of group {}", group.0))]
     NoReplica {
         /// The group.
@@ -169,27 +169,27 @@
     /// Another node leads the group; nothing was changed.
     #[snafu(display("node {} leads the group", leader.map_or(0, |node| node.0)))]
     NotLeader {
-        /// The leader if known.
+        /// The leader, if known.
         leader: Option<NodeId>,
     },
-    /// Another change is under way or the learner lags; nothing was changed.
+    /// Another change is in progress or the learner lags; nothing was changed.
     #[snafu(display("another change is under way, or the learner has not caught up"))]
     Pending,
-    /// The change makes no sense; nothing was changed.
-    #[snafu(display("the change makes no sense for the present replicas"))]
+    /// The change does not apply to the current replicas; nothing was changed.
+    #[snafu(display("the change does not apply to the current replicas"))]
     Invalid,
-    /// The change may yet be committed; look at the replicas before trying again.
+    /// The change may still be committed; check the replicas before trying again.
     #[snafu(display("the change may yet be committed"))]
     Undecided,
 }
 
-/// The newest recorded trace lines; see docs/TRACE.md.
+/// Access to the most recent trace lines; see docs/TRACE.md.
 pub trait Traces {
     /// At most `limit` lines, oldest first.
     fn recent(&self, limit: u32) -> Vec<Arc<str>>;
 }
 
-/// What a measure belongs to. Few values each, so that the number of series stays bounded.
+/// Labels of a measurement. Each has few values, so that the number of series is bounded.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Labels {
     /// The partner.
@@ -198,52 +198,52 @@
     pub class: Arc<str>,
 }
 
-/// One thing that is counted or timed.
+/// A measurement, with its value where it has one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Measurement {
-    /// First call to final answer of a program.
+    /// Time from the first call of a program to its final answer.
     ProgramLatency(Duration),
-    /// Arrival of a call to its first token or byte.
+    /// Time from the arrival of a call to its first token or byte.
     FirstToken(Duration),
     /// Time between two tokens of an answer.
     BetweenTokens(Duration),
-    /// Time between arrival of a call and its dispatch.
+    /// Time from the arrival of a call to its dispatch.
     QueueWait(Duration),
-    /// Time that a call spent in this process beyond waiting for the backend server.
+    /// Time that a call spends in this process, other than waiting for the backend server.
     AddedTime(Duration),
     /// Time of one commit through a state group.
     Commit(Duration),
-    /// A refusal that did not run, by its reason.
+    /// A call that was refused before it ran, with the reason.
     Refused(&'static str),
-    /// A further attempt at a call, by what made the last one fail.
+    /// A retry of a call, with the reason why the last attempt failed.
     Retried(&'static str),
-    /// A call of which nobody can tell whether it ran.
+    /// A call that may or may not have run.
     UnknownOutcome,
-    /// Tokens generated.
+    /// Generated tokens.
     Tokens(u64),
 }
 
-/// What a process of a deployment holds to be in force, and how old that belief is.
+/// The revision in force on a process of a deployment, and how recently control confirmed it.
 pub trait Freshness {
     /// Revision of the table of routes; 0 before there is one.
     fn revision(&self) -> u64;
 
-    /// Time since the report went out that the leader of control confirmed last; none before the first.
+    /// Time since the process sent the last report that the control leader confirmed; none before the first.
     fn age(&self) -> Option<Duration>;
 }
 
-/// Takes in measures; cheap enough for every token.
+/// Records measurements; cheap enough to call for every token.
 pub trait Recorder {
-    /// Counts or times one thing.
-    fn record(&self, labels: &Labels, measure: &Measurement);
+    /// Adds a measurement to the series with these labels.
+    fn record(&self, labels: &Labels, measurement: &Measurement);
 
-    /// Sets the prefix cache that live programs hold on this node's account, and what was wasted of it
-    /// since the start, in tokens; see [`crate::retention::cache_usage`].
+    /// Sets the tokens of prefix cache that live programs hold by this node's count, and those wasted since the start; see
+    /// [`crate::retention::cache_usage`].
     fn record_cache(&self, held: u64, wasted: u64);
 
-    /// Counts a report to control by what became of it, and times it.
+    /// Records the duration of a report to control, by its outcome.
     fn record_report(&self, _outcome: &'static str, _took: Duration) {}
 
-    /// Counts entries of the platform's list that name no server to use, since they can't be read.
+    /// Counts malformed entries of the platform's list of backend servers.
     fn record_malformed(&self, _entries: u64) {}
 }
