--- a/agatetrestle/src/scheduler/classes.rs
+++ b/agatetrestle/src/scheduler/classes.rs
@@ -1,4 +1,4 @@
-//! The classes: their declared rules and what their calls usually need.
+//! Classes of programs: their declared rules and statistics of their calls.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,43 +6,48 @@
 
 use crate::scheduler::event::Catalog;
 use crate::scheduler::event::ClassRule;
-use crate::scheduler::residual::Residual;
+use crate::scheduler::service_histogram::ServiceHistogram;
 
-const OUTPUT_AT_START: u64 = 200;
-const TOKENS_AT_START: u64 = 4_000;
-const TOKENS_WEIGHT: u64 = 32;
-const HALF_OPEN: u64 = 50;
-const OUTPUT_WEIGHT: u64 = 16;
+const DEFAULT_OUTPUT_TOKENS: u64 = 200;
+const DEFAULT_PROGRAM_TOKENS: u64 = 4_000;
+const PROGRAM_TOKENS_WINDOW: u64 = 32;
+const MIN_CAPACITY_PERCENT: u64 = 50;
+const OUTPUT_TOKENS_WINDOW: u64 = 16;
 const DEFAULT_RULE: ClassRule = ClassRule { priority: 0, deadline: None, keepalive: Duration::from_mins(5) };
 
 #[derive(Debug)]
 struct Class {
     rule: ClassRule,
-    output: u64,
-    residual: Residual,
-    tokens: u64,
+    output_tokens: u64,
+    service: ServiceHistogram,
+    program_tokens: u64,
 }
 
 impl Class {
     fn new(rule: ClassRule) -> Self {
-        Self { rule, output: OUTPUT_AT_START, residual: Residual::default(), tokens: TOKENS_AT_START }
+        Self {
+            rule,
+            output_tokens: DEFAULT_OUTPUT_TOKENS,
+            service: ServiceHistogram::default(),
+            program_tokens: DEFAULT_PROGRAM_TOKENS,
+        }
     }
 }
 
-/// The classes by partner and name.
+/// Classes by partner and name.
 #[derive(Debug, Default)]
 pub struct Classes {
-    most_urgent: HashMap<Arc<str>, u8>,
+    max_priorities: HashMap<Arc<str>, u8>,
     by_name: HashMap<(Arc<str>, Arc<str>), Class>,
 }
 
 impl Classes {
-    /// Takes in the declared rules; what was learned of a class that stays is kept.
-    pub fn declare(&mut self, catalog: &Catalog) {
-        self.most_urgent.clear();
+    /// Replaces the declared rules and keeps the statistics of classes that remain declared.
+    pub fn set_catalog(&mut self, catalog: &Catalog) {
+        self.max_priorities.clear();
         for ((partner, _), rule) in &catalog.classes {
-            let most = self.most_urgent.entry(partner.clone()).or_default();
-            *most = rule.priority.max(*most);
+            let max = self.max_priorities.entry(partner.clone()).or_default();
+            *max = rule.priority.max(*max);
         }
         self.by_name.retain(|name, _| catalog.classes.contains_key(name));
         for (name, rule) in &catalog.classes {
@@ -51,65 +56,67 @@
         }
     }
 
-    /// The rule of a class; one that is not declared gets the lowest priority.
+    /// The rule of a class. An undeclared class has the lowest priority.
     #[must_use]
     pub fn rule(&self, partner: &Arc<str>, class: &Arc<str>) -> ClassRule {
         self.find(partner, class).map_or(DEFAULT_RULE, |class| class.rule)
     }
 
-    /// Tokens that an answer is expected to have.
+    /// Moving average of the response length in tokens.
     #[must_use]
     pub fn expected_output(&self, partner: &Arc<str>, class: &Arc<str>) -> u64 {
-        self.find(partner, class).map_or(OUTPUT_AT_START, |class| class.output)
+        self.find(partner, class).map_or(DEFAULT_OUTPUT_TOKENS, |class| class.output_tokens)
     }
 
-    /// Takes in the length of an answer.
-    pub fn learn_output(&mut self, partner: &Arc<str>, class: &Arc<str>, tokens: u64) {
+    /// Records the length of a response.
+    pub fn record_output(&mut self, partner: &Arc<str>, class: &Arc<str>, tokens: u64) {
         if let Some(class) = self.by_name.get_mut(&(partner.clone(), class.clone())) {
-            class.output = (class.output * (OUTPUT_WEIGHT - 1) + tokens).div_ceil(OUTPUT_WEIGHT);
+            class.output_tokens =
+                (class.output_tokens * (OUTPUT_TOKENS_WINDOW - 1) + tokens).div_ceil(OUTPUT_TOKENS_WINDOW);
         }
     }
 
-    /// Takes in the whole service of a program that ended.
-    pub fn learn_service(&mut self, partner: &Arc<str>, class: &Arc<str>, service: u64) {
+    /// Records the total service of an ended program.
+    pub fn record_service(&mut self, partner: &Arc<str>, class: &Arc<str>, service: u64) {
         if let Some(class) = self.by_name.get_mut(&(partner.clone(), class.clone())) {
-            class.residual.learn(service);
+            class.service.record(service);
         }
     }
 
-    /// Service that a program is expected to need yet, having attained so much.
+    /// Expected remaining service of a program, given its attained service.
     #[must_use]
-    pub fn expected_rest(&self, partner: &Arc<str>, class: &Arc<str>, attained: u64) -> u64 {
-        self.find(partner, class).map_or(attained, |class| class.residual.expected(attained))
+    pub fn expected_remaining(&self, partner: &Arc<str>, class: &Arc<str>, attained: u64) -> u64 {
+        self.find(partner, class).map_or(attained, |class| class.service.expected_remaining(attained))
     }
 
-    /// The mean service of programs of a class, if enough are known.
+    /// Mean total service of the programs of a class, or none with too few samples.
     #[must_use]
-    pub fn usual_service(&self, partner: &Arc<str>, class: &Arc<str>) -> Option<u64> {
-        self.find(partner, class).and_then(|class| class.residual.mean())
+    pub fn mean_service(&self, partner: &Arc<str>, class: &Arc<str>) -> Option<u64> {
+        self.find(partner, class).and_then(|class| class.service.mean())
     }
 
-    /// Takes in how many tokens a program held at its end.
-    pub fn learn_tokens(&mut self, partner: &Arc<str>, class: &Arc<str>, tokens: u64) {
+    /// Records the tokens that a program held at its end.
+    pub fn record_tokens(&mut self, partner: &Arc<str>, class: &Arc<str>, tokens: u64) {
         if let Some(class) = self.by_name.get_mut(&(partner.clone(), class.clone())) {
-            class.tokens = (class.tokens * (TOKENS_WEIGHT - 1) + tokens).div_ceil(TOKENS_WEIGHT);
+            class.program_tokens =
+                (class.program_tokens * (PROGRAM_TOKENS_WINDOW - 1) + tokens).div_ceil(PROGRAM_TOKENS_WINDOW);
         }
     }
 
-    /// Tokens that a program is expected to hold.
+    /// Moving average of the tokens that a program holds at its end.
     #[must_use]
     pub fn expected_tokens(&self, partner: &Arc<str>, class: &Arc<str>) -> u64 {
-        self.find(partner, class).map_or(TOKENS_AT_START, |class| class.tokens)
+        self.find(partner, class).map_or(DEFAULT_PROGRAM_TOKENS, |class| class.program_tokens)
     }
 
-    /// The share of the door's capacity, in percent, that is open to a class: all of it to the most
-    /// urgent of its partner, half to one of priority 0.
+    /// Percentage of the admission capacity that a class may use: all for the partner's highest priority,
+    /// half for priority 0 and linear in between.
     #[must_use]
-    pub fn open_percent(&self, partner: &Arc<str>, class: &Arc<str>) -> u64 {
-        let most = self.most_urgent.get(partner).copied().unwrap_or_default();
-        let priority = self.rule(partner, class).priority.min(most);
-        let above = u64::from(priority) * HALF_OPEN;
-        HALF_OPEN + above.checked_div(u64::from(most)).unwrap_or(HALF_OPEN)
+    pub fn capacity_percent(&self, partner: &Arc<str>, class: &Arc<str>) -> u64 {
+        let max = self.max_priorities.get(partner).copied().unwrap_or_default();
+        let priority = self.rule(partner, class).priority.min(max);
+        let extra = u64::from(priority) * MIN_CAPACITY_PERCENT;
+        MIN_CAPACITY_PERCENT + extra.checked_div(u64::from(max)).unwrap_or(MIN_CAPACITY_PERCENT)
     }
 
     fn find(&self, partner: &Arc<str>, class: &Arc<str>) -> Option<&Class> {
--- a/agatetrestle/src/scheduler/config.rs
+++ b/agatetrestle/src/scheduler/config.rs
@@ -1,4 +1,4 @@
-//! Constants of the decisions that do not come from declarations.
+//! Parameters of the scheduler that are not declared.
 
 use std::time::Duration;
 
@@ -7,75 +7,75 @@
 use serde::Serialize;
 use serde_with::serde_as;
 
-/// What the decisions assume and how far they go; docs/MEASUREMENTS.md tells how each was chosen.
+/// Parameters of the scheduler; see docs/MEASUREMENTS.md.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SchedulerConfig {
-    /// Time to compute one prompt token, before any was measured, in microseconds.
+    /// Estimated time to compute a prompt token, in microseconds.
     pub prefill_per_token: u64,
-    /// Time of one generated token in an empty batch, before any was measured, in microseconds.
+    /// Estimated time per generated token in an empty batch, in microseconds.
     pub step_base: u64,
-    /// What each further request in a batch adds to it, in microseconds.
+    /// Additional time per generated token for each request in the batch, in microseconds.
     pub step_per_request: u64,
-    /// How many times cheaper an imported prompt token is than a computed one.
+    /// Ratio of the cost of computing a prompt token to the cost of importing it.
     pub import_divisor: u64,
-    /// Share of a prompt's time that the others in the batch lose by it, in percent.
+    /// Delay of each other request in a batch, as a percentage of the time of a prompt.
     pub externality: u64,
-    /// Delay in rank for each microsecond of service that a program has attained.
+    /// Increase of the rank for each microsecond of attained service.
     pub attained_factor: u64,
-    /// Delay in rank for each microsecond of service that a program is expected to need yet.
+    /// Increase of the rank for each microsecond of expected remaining service.
     pub rest_factor: u64,
-    /// Share of the time that a program has waited that its rank is advanced by, in percent.
+    /// Decrease of the rank, as a percentage of the program's total queue time.
     pub wait_credit: u64,
-    /// Most delay in rank by attained service; no call waits behind a younger one beyond it.
+    /// Maximum increase of the rank by service, which bounds how long younger calls overtake a call.
     #[serde_as(as = "DurationText")]
     pub aging_bound: Duration,
-    /// Advance in rank for each step of class priority.
+    /// Decrease of the rank for each level of class priority.
     #[serde_as(as = "DurationText")]
     pub priority_step: Duration,
-    /// Engine time by which a partner may run ahead of its share while others wait.
+    /// Engine time by which a partner may exceed its share while others wait.
     #[serde_as(as = "DurationText")]
     pub share_slack: Duration,
-    /// The same among the teams of one partner.
+    /// Engine time by which a team may exceed its weight while other teams of the partner wait.
     #[serde_as(as = "DurationText")]
     pub team_slack: Duration,
-    /// How many times the usual service of its class a program attains before it counts as an outlier.
+    /// Multiple of the mean service of its class above which a program is an outlier.
     pub outlier_factor: u64,
-    /// Calls of outliers in service for each ten engines of a pool.
+    /// Maximum calls of outliers in service for every ten engines of a pool.
     pub outliers_per_ten: u64,
-    /// Calls of other programs in service for each engine below which outliers are not held back.
+    /// Calls of other programs per engine below which outliers are not limited.
     pub quiet_calls: u64,
-    /// Share of an engine's prefix cache that is planned with, in percent.
+    /// Usable part of an engine's prefix cache, in percent.
     pub cache_fill: u64,
-    /// Memory that programs under way may fill together, in percent of the engines' prefix caches;
-    /// above 100 counts on memory to which cache is exported.
+    /// Tokens that admitted programs may hold, in percent of the engines' prefix caches; above 100 they rely
+    /// on exports.
     pub door_fill: u64,
-    /// How far into that memory a partner may go beyond its share, in percent.
+    /// Percentage of these tokens up to which partners may exceed their shares.
     pub door_lent: u64,
-    /// The share of pauses, in percent, that is over by when a program is expected back.
+    /// Percentile of past pauses that predicts the end of a pause.
     pub return_percent: u32,
-    /// Engine time that a call may wait for the engine that holds its prefix.
+    /// Time after submission up to which a call waits for the engine that caches its prefix.
     #[serde_as(as = "DurationText")]
     pub hold_bound: Duration,
-    /// Waiting calls that one pass may leave behind before it stops looking further.
+    /// Maximum waiting calls that a dispatch pass skips.
     pub pass_skips: usize,
-    /// Calls that may wait for one pool.
+    /// Maximum waiting calls of a pool.
     pub queue_limit: usize,
-    /// Attempts at one call.
+    /// Maximum attempts of a call.
     pub max_attempts: u32,
-    /// Retries for a hundred successes.
+    /// Retries per hundred successful calls.
     pub retry_percent: u64,
-    /// Pause before a retry, jitter aside.
+    /// Delay before a retry, without jitter.
     #[serde_as(as = "DurationText")]
     pub retry_delay: Duration,
-    /// What a refused caller is told to wait, at least.
+    /// Minimum delay after which a refused caller may retry.
     #[serde_as(as = "DurationText")]
     pub retry_after: Duration,
-    /// Interval of housekeeping.
+    /// Interval of ticks.
     #[serde_as(as = "DurationText")]
     pub tick: Duration,
-    /// Equal prompts in a row after which a program counts as looping.
+    /// Consecutive repetitions of a prompt after which calls of a program are refused.
     pub repeat_limit: u32,
 }
 
--- a/agatetrestle/src/scheduler/core/dispatch.rs
+++ b/agatetrestle/src/scheduler/core/dispatch.rs
@@ -1,4 +1,4 @@
-//! The pass over waiting calls, and what is done when one is sent.
+//! Dispatch of waiting calls.
 
 use crate::admission::queue::CallKey;
 use crate::admission::queue::FairQueue;
@@ -10,10 +10,10 @@
 use crate::placing::PlacementRequest;
 use crate::placing::cost::missing_tokens;
 use crate::placing::cost::required_tokens;
+use crate::scheduler::core::CallEntry;
+use crate::scheduler::core::CallPhase;
 use crate::scheduler::core::Core;
-use crate::scheduler::core::Entry;
 use crate::scheduler::core::InService;
-use crate::scheduler::core::State;
 use crate::scheduler::event::Action;
 use crate::scheduler::event::BackendKey;
 use crate::scheduler::event::CacheCommand;
@@ -27,65 +27,64 @@
 use crate::scheduler::programs::Programs;
 
 impl Core {
-    /// Sends waiting calls of all pools.
-    pub(super) fn pass_all(&mut self, now: Timestamp, decisions: &mut Decisions) {
+    /// Dispatches waiting calls of all pools.
+    pub(super) fn dispatch_all(&mut self, now: Timestamp, decisions: &mut Decisions) {
         let pools: Vec<PoolKey> = self.fleet.pools.keys().collect();
         for pool in pools {
-            self.pass(now, pool, decisions);
+            self.dispatch_pool(now, pool, decisions);
         }
     }
 
-    /// Sends waiting calls of a pool in their order until no server is open or too many had to be
-    /// left behind. Outliers go first, but few at a time, so that they neither starve nor fill every
-    /// batch.
-    pub(super) fn pass(&mut self, now: Timestamp, pool: PoolKey, decisions: &mut Decisions) {
-        self.pass_lane(now, pool, true, decisions);
-        self.pass_lane(now, pool, false, decisions);
+    /// Dispatches waiting calls of a pool in order until no server is open or too many were skipped. Outliers
+    /// go first but are limited in number, so that they neither starve nor fill the batches.
+    pub(super) fn dispatch_pool(&mut self, now: Timestamp, pool: PoolKey, decisions: &mut Decisions) {
+        self.dispatch_queue(now, pool, true, decisions);
+        self.dispatch_queue(now, pool, false, decisions);
     }
 
-    fn pass_lane(&mut self, now: Timestamp, pool: PoolKey, outliers: bool, decisions: &mut Decisions) {
-        let mut left: Vec<(Owner, QueuedCall)> = Vec::new();
-        let mut held_for: Vec<BackendKey> = Vec::new();
-        while left.len() <= self.cfg.pass_skips && !self.fleet.pools[pool].open.is_empty() {
-            if outliers && !self.takes_outliers(pool) {
+    fn dispatch_queue(&mut self, now: Timestamp, pool: PoolKey, outliers: bool, decisions: &mut Decisions) {
+        let mut skipped: Vec<(Owner, QueuedCall)> = Vec::new();
+        let mut deferred_to: Vec<BackendKey> = Vec::new();
+        while skipped.len() <= self.cfg.pass_skips && !self.fleet.pools[pool].open.is_empty() {
+            if outliers && !self.can_send_outlier(pool) {
                 break;
             }
-            let lane = if outliers { &mut self.outliers } else { &mut self.queues };
-            let Some((owner, ticket)) = lane.get_mut(pool).and_then(FairQueue::pop) else {
+            let queues = if outliers { &mut self.outlier_queues } else { &mut self.queues };
+            let Some((owner, waiting)) = queues.get_mut(pool).and_then(FairQueue::pop) else {
                 break;
             };
-            if self.too_late(now, ticket.call, decisions) {
+            if self.refuse_if_expired(now, waiting.call, decisions) {
                 continue;
             }
-            match self.choose(now, pool, ticket.call) {
-                Placement::Send { to, fetch } => self.send(now, ticket.call, to, fetch, decisions),
+            match self.place(now, pool, waiting.call) {
+                Placement::Send { to, fetch } => self.send(now, waiting.call, to, fetch, decisions),
                 Placement::WaitFor(server) => {
                     self.fleet.servers[server].deferred_calls += 1;
-                    held_for.push(server);
-                    left.push((owner, ticket));
+                    deferred_to.push(server);
+                    skipped.push((owner, waiting));
                 }
-                Placement::NoCapacity => left.push((owner, ticket)),
+                Placement::NoCapacity => skipped.push((owner, waiting)),
             }
         }
-        for server in held_for {
+        for server in deferred_to {
             self.fleet.servers[server].deferred_calls = 0;
         }
-        let lane = if outliers { &mut self.outliers } else { &mut self.queues };
-        for (owner, ticket) in left {
-            lane[pool].push(&owner, ticket);
+        let queues = if outliers { &mut self.outlier_queues } else { &mut self.queues };
+        for (owner, waiting) in skipped {
+            queues[pool].push(&owner, waiting);
         }
     }
 
-    /// Turns a call away whose caller no longer wants the answer, before work is spent on it.
-    fn too_late(&mut self, now: Timestamp, key: CallKey, decisions: &mut Decisions) -> bool {
+    /// Ends a call whose deadline has passed.
+    fn refuse_if_expired(&mut self, now: Timestamp, key: CallKey, decisions: &mut Decisions) -> bool {
         let entry = &self.calls[key];
         if entry.call.deadline.is_none_or(|deadline| deadline > now) {
             return false;
         }
-        let (id, sent_before) = (entry.call.id, entry.attempts > 0);
-        self.withdraw(now, id);
+        let (id, was_sent) = (entry.call.id, entry.attempts > 0);
+        self.remove_waiting(now, id);
         let retry_after = self.cfg.retry_after;
-        decisions.actions.push(if sent_before {
+        decisions.actions.push(if was_sent {
             Action::GiveUp { call: id, retry_after }
         } else {
             Action::Refuse { call: id, reason: RefusalReason::Deadline, retry_after }
@@ -93,29 +92,30 @@
         true
     }
 
-    /// Whether a program has attained so much more than is usual that it may be a loop.
+    /// Whether the program of a call has attained so much more service than the mean of its class that it may
+    /// be in a loop.
     pub(super) fn is_outlier(&self, key: CallKey) -> bool {
         let entry = &self.calls[key];
-        if !self.parts.shares || !matches!(entry.call.work, Work::Model { .. }) {
+        if !self.components.shares || !matches!(entry.call.work, Work::Model { .. }) {
             return false;
         }
-        let usual = self.classes.usual_service(&entry.owner.partner, &entry.call.class);
+        let mean = self.classes.mean_service(&entry.owner.partner, &entry.call.class);
         let attained = self.programs.get(entry.root).map_or(0, |root| root.attained);
-        usual.is_some_and(|usual| attained > usual.saturating_mul(self.cfg.outlier_factor))
+        mean.is_some_and(|mean| attained > mean.saturating_mul(self.cfg.outlier_factor))
     }
 
-    fn takes_outliers(&self, pool: PoolKey) -> bool {
+    fn can_send_outlier(&self, pool: PoolKey) -> bool {
         let pool = &self.fleet.pools[pool];
         let engines = u64::try_from(pool.members.len()).unwrap_or(u64::MAX);
-        let others = pool.running.saturating_sub(pool.outliers);
-        let quiet = others < engines * self.cfg.quiet_calls;
-        quiet || pool.outliers < (engines * self.cfg.outliers_per_ten / 10).max(1)
+        let others = pool.running.saturating_sub(pool.outlier_calls);
+        let is_lightly_loaded = others < engines * self.cfg.quiet_calls;
+        is_lightly_loaded || pool.outlier_calls < (engines * self.cfg.outliers_per_ten / 10).max(1)
     }
 
-    fn choose(&mut self, now: Timestamp, pool: PoolKey, call: CallKey) -> Placement {
+    fn place(&mut self, now: Timestamp, pool: PoolKey, call: CallKey) -> Placement {
         let entry = &self.calls[call];
-        let wanted = wanted(&self.programs, entry, now);
-        self.parts.placer.place(&self.fleet, pool, &wanted)
+        let request = placement_request(&self.programs, entry, now);
+        self.components.placer.place(&self.fleet, pool, &request)
     }
 
     fn send(
@@ -128,53 +128,60 @@
     ) {
         let entry = &self.calls[call];
         let program = entry.program;
-        let wanted = wanted(&self.programs, entry, now);
-        let (uncached, pinned, blocks) = {
-            let held = self.fleet.servers[to].residency.prefix_len(wanted.blocks);
-            let missing = missing_tokens(&wanted, held);
+        let request = placement_request(&self.programs, entry, now);
+        let (prefill_tokens, pinned_tokens, cached_blocks) = {
+            let cached_blocks = self.fleet.servers[to].residency.prefix_len(request.blocks);
+            let missing = missing_tokens(&request, cached_blocks);
             let fetched = match fetch {
                 Fetch::None => 0,
-                Fetch::Import => wanted.exported_tokens.min(missing),
-                Fetch::Move(_) => wanted.own_tokens.min(missing),
+                Fetch::Import => request.exported_tokens.min(missing),
+                Fetch::Move(_) => request.own_tokens.min(missing),
             };
             let divisor = self.cfg.import_divisor.max(1);
-            (missing - fetched + fetched / divisor, required_tokens(&wanted), held)
+            (missing - fetched + fetched / divisor, required_tokens(&request), cached_blocks)
         };
         let is_model = matches!(entry.call.work, Work::Model { .. });
-        let charged = self.expected_service(entry);
-        let outlier = self.is_outlier(call);
-        self.fleet.pools[entry.pool].outliers += u64::from(outlier);
+        let charged_service = self.expected_service(entry);
+        let is_outlier = self.is_outlier(call);
+        self.fleet.pools[entry.pool].outlier_calls += u64::from(is_outlier);
         let root = entry.root;
         let queue_time = now.since(entry.submitted);
         if let Some(root) = self.programs.get_mut(root) {
-            root.waited += queue_time;
+            root.queue_time += queue_time;
         }
         if is_model {
-            self.note_shared(program, blocks, call);
-            self.fetch(program, to, fetch, decisions);
+            self.record_shared_prefix(program, cached_blocks, call);
+            self.fetch_prefix(program, to, fetch, decisions);
         }
-        self.settle_in(call, to, is_model);
+        self.record_prefix_location(call, to, is_model);
         let server = &mut self.fleet.servers[to];
-        server.pinned_tokens += pinned;
-        server.pending_prefill += uncached;
+        server.pinned_tokens += pinned_tokens;
+        server.pending_prefill += prefill_tokens;
         self.fleet.acquire(to);
         if is_model {
-            self.make_room(to, decisions);
+            self.export_excess(to, decisions);
         }
         let entry = &mut self.calls[call];
         entry.attempts += 1;
-        let service = InService { server: to, first_token: None, uncached, pinned, charged, outlier };
-        entry.state = State::InService(service);
+        let service = InService {
+            server: to,
+            first_token: None,
+            prefill_tokens,
+            pinned_tokens,
+            charged_service,
+            is_outlier,
+        };
+        entry.phase = CallPhase::InService(service);
         let priority = self.classes.rule(&entry.call.program.partner, &entry.call.class).priority;
         decisions.actions.push(Action::Dispatch { call: entry.call.id, backend: to, priority });
         let (owner, pool) = (entry.owner.clone(), entry.pool);
         if let Some(queue) = self.queues.get_mut(pool) {
-            queue.charge(&owner, charged);
+            queue.charge(&owner, charged_service);
         }
     }
 
-    /// Remembers how much of a program's first prompt was there before it.
-    fn note_shared(&mut self, key: ProgramKey, held: usize, call: CallKey) {
+    /// Records how much of a program's first prompt was already cached.
+    fn record_shared_prefix(&mut self, key: ProgramKey, cached_blocks: usize, call: CallKey) {
         let Work::Model { blocks, prompt_tokens, .. } = &self.calls[call].call.work else {
             return;
         };
@@ -185,20 +192,20 @@
             return;
         }
         let count = u64::try_from(blocks.len()).unwrap_or(u64::MAX);
-        let held_blocks = u64::try_from(held).unwrap_or(u64::MAX);
-        program.shared_blocks = held;
-        program.shared_tokens = u64::from(*prompt_tokens) / count * held_blocks;
+        let cached = u64::try_from(cached_blocks).unwrap_or(u64::MAX);
+        program.shared_blocks = cached_blocks;
+        program.shared_tokens = u64::from(*prompt_tokens) / count * cached;
     }
 
-    /// Gives the orders that bring the program's prefix to the engine.
-    fn fetch(&mut self, key: ProgramKey, to: BackendKey, fetch: Fetch, decisions: &mut Decisions) {
-        let place = self.programs.get(key).map(|program| program.place).unwrap_or_default();
-        match (fetch, place) {
-            (Fetch::Move(from), _) if self.parts.retention => self.export(key, from, decisions),
-            (_, PrefixLocation::Cached(from)) if from != to => self.release_everywhere(key, decisions),
-            _ => self.unpark(key),
+    /// Issues the commands that bring the program's prefix to the engine.
+    fn fetch_prefix(&mut self, key: ProgramKey, to: BackendKey, fetch: Fetch, decisions: &mut Decisions) {
+        let location = self.programs.get(key).map(|program| program.prefix_location).unwrap_or_default();
+        match (fetch, location) {
+            (Fetch::Move(from), _) if self.components.retention => self.export_prefix(key, from, decisions),
+            (_, PrefixLocation::Cached(from)) if from != to => self.release_prefix(key, decisions),
+            _ => self.release_idle_tokens(key),
         }
-        if fetch == Fetch::None || !self.parts.retention {
+        if fetch == Fetch::None || !self.components.retention {
             return;
         }
         if let Some(program) = self.programs.get(key) {
@@ -207,8 +214,8 @@
         }
     }
 
-    /// The program is now at home on this server.
-    fn settle_in(&mut self, call: CallKey, to: BackendKey, is_model: bool) {
+    /// Records the server and the prompt of a program's latest call.
+    fn record_prefix_location(&mut self, call: CallKey, to: BackendKey, is_model: bool) {
         let entry = &self.calls[call];
         let Some(program) = self.programs.get_mut(entry.program) else {
             return;
@@ -217,8 +224,8 @@
             return;
         };
         if is_model {
-            program.home = Some(to);
-            program.place = PrefixLocation::Cached(to);
+            program.last_server = Some(to);
+            program.prefix_location = PrefixLocation::Cached(to);
             program.blocks = blocks.clone();
             program.prompt_tokens = u64::from(*prompt_tokens);
             program.tokens = u64::from(*prompt_tokens);
@@ -226,7 +233,11 @@
     }
 }
 
-fn wanted<'a>(programs: &'a Programs, entry: &'a Entry, now: Timestamp) -> PlacementRequest<'a> {
+fn placement_request<'a>(
+    programs: &'a Programs,
+    entry: &'a CallEntry,
+    now: Timestamp,
+) -> PlacementRequest<'a> {
     let program = programs.get(entry.program);
     let root = programs.get(entry.root);
     let (blocks, prompt_tokens): (&[u64], u64) = match &entry.call.work {
@@ -242,9 +253,9 @@
         own_tokens: program.map_or(0, Program::own_tokens),
         shared_tokens: program.map_or(0, |program| program.shared_tokens),
         exported_tokens,
-        place: program.map(|program| program.place).unwrap_or_default(),
-        last_server: program.and_then(|program| program.home),
-        root_server: root.and_then(|root| root.home),
+        place: program.map(|program| program.prefix_location).unwrap_or_default(),
+        last_server: program.and_then(|program| program.last_server),
+        root_server: root.and_then(|root| root.last_server),
         waited: now.since(entry.submitted),
     }
 }
--- a/agatetrestle/src/scheduler/core/housekeeping.rs
+++ b/agatetrestle/src/scheduler/core/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What is done as time passes.
+//! Periodic work of the scheduler.
 
 use crate::clock::Timestamp;
 use crate::scheduler::core::Core;
@@ -8,24 +8,24 @@
 
 impl Core {
     pub(super) fn tick(&mut self, now: Timestamp, decisions: &mut Decisions) {
-        self.wake_resting(now);
+        self.end_backoffs(now);
         self.readmit(now);
         self.requeue_delayed(now);
-        self.expire(now, decisions);
-        self.turn_away(now, decisions);
-        self.expect_later(now);
-        self.pass_all(now, decisions);
+        self.expire_programs(now, decisions);
+        self.refuse_timed_out(now, decisions);
+        self.extend_pauses(now);
+        self.dispatch_all(now, decisions);
     }
 
-    fn wake_resting(&mut self, now: Timestamp) {
-        while let Some((until, key)) = self.resting.first().copied().filter(|(until, _)| *until <= now) {
-            self.resting.remove(&(until, key));
+    fn end_backoffs(&mut self, now: Timestamp) {
+        while let Some((until, key)) = self.backoffs.first().copied().filter(|(until, _)| *until <= now) {
+            self.backoffs.remove(&(until, key));
             if let Some(server) = self.fleet.servers.get_mut(key)
-                && server.resting_until == until
+                && server.backoff_until == until
             {
-                server.resting_until = Timestamp(0);
+                server.backoff_until = Timestamp(0);
             }
-            self.fleet.refresh(key);
+            self.fleet.update_open(key);
         }
     }
 
@@ -36,30 +36,31 @@
         }
     }
 
-    /// Releases what programs hold that did nothing for their keepalive.
-    fn expire(&mut self, now: Timestamp, decisions: &mut Decisions) {
+    /// Removes programs that were inactive for their keepalive.
+    fn expire_programs(&mut self, now: Timestamp, decisions: &mut Decisions) {
         while let Some(key) = self.programs.take_expired(now) {
-            self.forget(key, decisions);
+            self.remove_program(key, decisions);
         }
     }
 
-    /// A program that is not back when it was expected is likely to stay away as long again.
-    fn expect_later(&mut self, now: Timestamp) {
+    /// Extends overdue pauses by the time that they have lasted so far.
+    fn extend_pauses(&mut self, now: Timestamp) {
         let servers: Vec<BackendKey> = self.fleet.servers.keys().collect();
         for server in servers {
-            while let Some((expected, key)) = self.overdue(server, now) {
-                let away = self.programs.get(key).and_then(|p| p.pause.as_ref()).map(|p| now.since(p.since));
-                let Some(away) = away else {
-                    self.fleet.servers[server].idle.remove(&(expected, key));
+            while let Some((expected, key)) = self.overdue_pause(server, now) {
+                let elapsed =
+                    self.programs.get(key).and_then(|p| p.pause.as_ref()).map(|p| now.since(p.since));
+                let Some(elapsed) = elapsed else {
+                    self.fleet.servers[server].idle_programs.remove(&(expected, key));
                     continue;
                 };
-                self.expect_at(key, expected, now + away.max(self.cfg.tick));
+                self.set_expected_end(key, expected, now + elapsed.max(self.cfg.tick));
             }
         }
     }
 
-    fn overdue(&self, server: BackendKey, now: Timestamp) -> Option<(Timestamp, ProgramKey)> {
-        let idle = &self.fleet.servers[server].idle;
+    fn overdue_pause(&self, server: BackendKey, now: Timestamp) -> Option<(Timestamp, ProgramKey)> {
+        let idle = &self.fleet.servers[server].idle_programs;
         idle.first().copied().filter(|(expected, _)| *expected <= now)
     }
 }
--- a/agatetrestle/src/scheduler/core/mod.rs
+++ b/agatetrestle/src/scheduler/core/mod.rs
@@ -1,10 +1,10 @@
-//! The scheduler proper: state and the order in which its parts are asked.
+//! The scheduler that all policies except plain round robin configure.
 
+mod admission;
+mod cache;
 mod dispatch;
-mod door;
 mod ejection;
 mod housekeeping;
-mod memory;
 mod outcome;
 mod submit;
 
@@ -45,19 +45,19 @@
 use crate::scheduler::programs::Programs;
 use crate::scheduler::random::Random;
 
-/// The parts in which policies differ.
+/// Components in which policies differ.
 #[derive(Debug)]
-pub struct Parts {
-    /// Which call goes first.
+pub struct Components {
+    /// Order of service.
     pub order: Box<dyn Order>,
-    /// Where it goes.
+    /// Placement of calls on servers.
     pub placer: Box<dyn Placer>,
-    /// Whether cache is kept, exported and released by order.
+    /// Whether prefixes are exported, imported and released by command.
     pub retention: bool,
-    /// Whether failing backend servers are ejected.
+    /// Whether unhealthy backend servers are ejected.
     pub health: bool,
-    /// Whether partners and teams are held to their shares, and new programs wait at the door while
-    /// there is no memory for them.
+    /// Whether shares of partners and teams are enforced, new programs wait for cache memory and outliers are
+    /// limited.
     pub shares: bool,
 }
 
@@ -65,22 +65,22 @@
 struct InService {
     server: BackendKey,
     first_token: Option<Timestamp>,
-    uncached: u64,
-    pinned: u64,
-    charged: u64,
-    outlier: bool,
+    prefill_tokens: u64,
+    pinned_tokens: u64,
+    charged_service: u64,
+    is_outlier: bool,
 }
 
 #[derive(Debug)]
-enum State {
-    AtDoor(QueuedCall),
-    Waiting(QueuedCall),
+enum CallPhase {
+    AwaitingAdmission(QueuedCall),
+    Queued(QueuedCall),
     Delayed(Timestamp),
     InService(InService),
 }
 
 #[derive(Debug)]
-struct Entry {
+struct CallEntry {
     call: Call,
     owner: Owner,
     pool: PoolKey,
@@ -89,77 +89,77 @@
     submitted: Timestamp,
     expected_output: u64,
     attempts: u32,
-    state: State,
+    phase: CallPhase,
 }
 
-/// Decides about calls by the parts that it was given.
+/// A scheduler assembled from [`Components`].
 #[derive(Debug)]
 pub struct Core {
     cfg: SchedulerConfig,
-    parts: Parts,
+    components: Components,
     catalog: Arc<Catalog>,
     fleet: Fleet,
     programs: Programs,
     classes: Classes,
-    calls: SlotMap<CallKey, Entry>,
-    ids: HashMap<CallId, CallKey>,
+    calls: SlotMap<CallKey, CallEntry>,
+    keys_by_id: HashMap<CallId, CallKey>,
     queues: SecondaryMap<PoolKey, FairQueue>,
-    outliers: SecondaryMap<PoolKey, FairQueue>,
-    doors: SecondaryMap<PoolKey, TokenAdmission>,
-    impatient: BTreeSet<(Timestamp, CallKey)>,
+    outlier_queues: SecondaryMap<PoolKey, FairQueue>,
+    admissions: SecondaryMap<PoolKey, TokenAdmission>,
+    admission_timeouts: BTreeSet<(Timestamp, CallKey)>,
     delayed: BTreeSet<(Timestamp, CallKey)>,
-    resting: BTreeSet<(Timestamp, BackendKey)>,
+    backoffs: BTreeSet<(Timestamp, BackendKey)>,
     ejected: BTreeSet<(Timestamp, BackendKey)>,
-    risk: FailureRates,
-    returns: PauseHistograms,
+    failure_rates: FailureRates,
+    pauses: PauseHistograms,
     retries: RetryBudgets,
     rng: Random,
     sequence: u64,
 }
 
 impl Core {
-    /// A scheduler without declarations; it refuses everything until a catalog comes.
+    /// Creates a scheduler without declarations, which refuses all calls until it gets a catalog.
     #[must_use]
-    pub fn new(parts: Parts, cfg: SchedulerConfig, seed: u64) -> Self {
+    pub fn new(components: Components, cfg: SchedulerConfig, seed: u64) -> Self {
         Self {
             retries: RetryBudgets::new(cfg.retry_percent),
             cfg,
-            parts,
+            components,
             catalog: Arc::default(),
             fleet: Fleet::default(),
             programs: Programs::default(),
             classes: Classes::default(),
             calls: SlotMap::with_key(),
-            ids: HashMap::new(),
+            keys_by_id: HashMap::new(),
             queues: SecondaryMap::new(),
-            outliers: SecondaryMap::new(),
-            doors: SecondaryMap::new(),
-            impatient: BTreeSet::new(),
+            outlier_queues: SecondaryMap::new(),
+            admissions: SecondaryMap::new(),
+            admission_timeouts: BTreeSet::new(),
             delayed: BTreeSet::new(),
-            resting: BTreeSet::new(),
+            backoffs: BTreeSet::new(),
             ejected: BTreeSet::new(),
-            risk: FailureRates::default(),
-            returns: PauseHistograms::default(),
+            failure_rates: FailureRates::default(),
+            pauses: PauseHistograms::default(),
             rng: Random::new(seed),
             sequence: 0,
         }
     }
 
-    /// Calls and programs that it remembers, for tests of what is freed.
+    /// Number of calls and programs in memory, for tests.
     #[must_use]
-    pub fn remembered(&self) -> (usize, usize) {
+    pub fn tracked_counts(&self) -> (usize, usize) {
         (self.calls.len(), self.programs.len())
     }
 
-    fn take_catalog(&mut self, now: Timestamp, catalog: &Arc<Catalog>, decisions: &mut Decisions) {
+    fn apply_catalog(&mut self, now: Timestamp, catalog: &Arc<Catalog>, decisions: &mut Decisions) {
         self.catalog = catalog.clone();
-        self.classes.declare(catalog);
-        self.fleet.declare(catalog);
-        self.pass_all(now, decisions);
+        self.classes.set_catalog(catalog);
+        self.fleet.set_catalog(catalog);
+        self.dispatch_all(now, decisions);
     }
 
-    fn take_cache_change(&mut self, backend: &Arc<str>, change: &CacheChange) {
-        let Some(key) = self.fleet.named(backend) else {
+    fn apply_cache_change(&mut self, backend: &Arc<str>, change: &CacheChange) {
+        let Some(key) = self.fleet.find(backend) else {
             return;
         };
         let Some(server) = self.fleet.servers.get_mut(key) else {
@@ -177,7 +177,7 @@
     fn step(&mut self, now: Timestamp, event: Event) -> Decisions {
         let mut decisions = Decisions::default();
         match event {
-            Event::Catalog(catalog) => self.take_catalog(now, &catalog, &mut decisions),
+            Event::Catalog(catalog) => self.apply_catalog(now, &catalog, &mut decisions),
             Event::Submit(call) => self.submit(now, call, &mut decisions),
             Event::FirstToken(call) => self.first_token(now, call),
             Event::Finished { call, output_tokens, cached_tokens } => {
@@ -186,14 +186,14 @@
             Event::Failed { call, failure } => self.failed(now, call, failure, &mut decisions),
             Event::Cancelled(call) => self.cancelled(now, call, &mut decisions),
             Event::Load { backend, load } => {
-                if let Some(key) = self.fleet.named(&backend) {
-                    self.fleet.report(key, load);
+                if let Some(key) = self.fleet.find(&backend) {
+                    self.fleet.update_load(key, load);
                 }
             }
-            Event::Cache { backend, change } => self.take_cache_change(&backend, &change),
+            Event::Cache { backend, change } => self.apply_cache_change(&backend, &change),
             Event::Leaving { name, leaving } => {
-                self.fleet.leave(&name, leaving);
-                self.pass_all(now, &mut decisions);
+                self.fleet.set_leaving(&name, leaving);
+                self.dispatch_all(now, &mut decisions);
             }
             Event::Paused { program, tool } => self.paused(&program, tool),
             Event::Ended(program) => self.ended(now, &program, &mut decisions),
--- a/agatetrestle/src/scheduler/core/submit.rs
+++ b/agatetrestle/src/scheduler/core/submit.rs
@@ -1,4 +1,4 @@
-//! What happens when a call comes.
+//! Submission of calls.
 
 use std::sync::Arc;
 
@@ -8,23 +8,23 @@
 use crate::admission::queue::QueuedCall;
 use crate::clock::Timestamp;
 use crate::clock::micros;
+use crate::scheduler::core::CallEntry;
+use crate::scheduler::core::CallPhase;
 use crate::scheduler::core::Core;
-use crate::scheduler::core::Entry;
-use crate::scheduler::core::State;
 use crate::scheduler::event::Action;
 use crate::scheduler::event::Call;
 use crate::scheduler::event::Decisions;
 use crate::scheduler::event::RefusalReason;
 use crate::scheduler::event::Work;
 use crate::scheduler::fleet::PoolKey;
-use crate::scheduler::order::Candidate;
+use crate::scheduler::order::RankInput;
 use crate::scheduler::programs::ProgramKey;
 
-const BATCH_OF_ESTIMATES: u64 = 12;
+const ESTIMATED_BATCH_SIZE: u64 = 12;
 
 impl Core {
     pub(super) fn submit(&mut self, now: Timestamp, call: Call, decisions: &mut Decisions) {
-        let pool = match self.admit(now, &call) {
+        let pool = match self.validate(now, &call) {
             Ok(pool) => pool,
             Err(reason) => {
                 let retry_after = self.cfg.retry_after;
@@ -32,11 +32,11 @@
                 return;
             }
         };
-        let program = self.enter(now, &call);
-        let root = self.enter_root(now, &call, program);
+        let program = self.track_program(now, &call);
+        let root = self.track_root(now, &call, program);
         let expected_output = self.expected_output(&call);
         let owner = Owner { partner: call.program.partner.clone(), team: call.team.clone() };
-        let entry = Entry {
+        let entry = CallEntry {
             owner,
             pool,
             program,
@@ -44,70 +44,74 @@
             submitted: now,
             expected_output,
             attempts: 0,
-            state: State::Delayed(now),
+            phase: CallPhase::Delayed(now),
             call,
         };
         let id = entry.call.id;
         let key = self.calls.insert(entry);
-        self.ids.insert(id, key);
-        self.knock(key);
-        self.pass(now, pool, decisions);
+        self.keys_by_id.insert(id, key);
+        self.admit(key);
+        self.dispatch_pool(now, pool, decisions);
     }
 
-    /// Puts a call into the queue of its pool, by its rank.
+    /// Ranks a call and adds it to the queue of its pool.
     pub(super) fn enqueue(&mut self, key: CallKey) {
-        let ticket = self.ticket(key);
+        let queued = self.rank(key);
         let entry = &mut self.calls[key];
-        entry.state = State::Waiting(ticket);
+        entry.phase = CallPhase::Queued(queued);
         let owner = entry.owner.clone();
         let pool = entry.pool;
-        let outlier = self.is_outlier(key);
-        self.queue(pool, &owner, outlier).push(&owner, ticket);
+        let is_outlier = self.is_outlier(key);
+        self.queue(pool, &owner, is_outlier).push(&owner, queued);
     }
 
-    fn waiting(&self, pool: PoolKey) -> usize {
-        [&self.queues, &self.outliers].iter().map(|queues| queues.get(pool).map_or(0, FairQueue::len)).sum()
+    fn queue_len(&self, pool: PoolKey) -> usize {
+        [&self.queues, &self.outlier_queues]
+            .iter()
+            .map(|queues| queues.get(pool).map_or(0, FairQueue::len))
+            .sum()
     }
 
-    /// Ranks a call.
-    pub(super) fn ticket(&mut self, key: CallKey) -> QueuedCall {
+    /// Computes the queue entry of a call.
+    pub(super) fn rank(&mut self, key: CallKey) -> QueuedCall {
         let entry = &self.calls[key];
         let rule = self.classes.rule(&entry.call.program.partner, &entry.call.class);
         let attained = self.programs.get(entry.root).map_or(0, |program| program.attained);
-        let rest = self.classes.expected_rest(&entry.call.program.partner, &entry.call.class, attained);
-        let candidate = Candidate {
+        let remaining =
+            self.classes.expected_remaining(&entry.call.program.partner, &entry.call.class, attained);
+        let input = RankInput {
             submitted: entry.submitted,
             attained,
-            rest,
-            waited: self.programs.get(entry.root).map(|program| program.waited).unwrap_or_default(),
+            remaining,
+            queue_time: self.programs.get(entry.root).map(|program| program.queue_time).unwrap_or_default(),
             expected: self.expected_service(entry),
             priority: rule.priority,
         };
         self.sequence += 1;
-        let rank = self.parts.order.rank(&candidate);
+        let rank = self.components.order.rank(&input);
         QueuedCall { rank, sequence: self.sequence, call: key }
     }
 
-    /// Engine time of a generated token in a usual batch, in microseconds.
+    /// Estimated engine time per generated token, in microseconds.
     pub(super) fn token_time(&self) -> u64 {
-        self.cfg.step_base / BATCH_OF_ESTIMATES + self.cfg.step_per_request
+        self.cfg.step_base / ESTIMATED_BATCH_SIZE + self.cfg.step_per_request
     }
 
-    /// Engine time that a waiting call is expected to take, in microseconds.
-    pub(super) fn expected_service(&self, entry: &Entry) -> u64 {
+    /// Expected service of a waiting call, in microseconds of engine time.
+    pub(super) fn expected_service(&self, entry: &CallEntry) -> u64 {
         let Work::Model { prompt_tokens, .. } = &entry.call.work else {
             return 0;
         };
-        let known = self.programs.get(entry.program).map_or(0, |program| program.tokens);
-        let fresh = u64::from(*prompt_tokens).saturating_sub(known);
-        fresh * self.cfg.prefill_per_token + entry.expected_output * self.token_time()
+        let previous_tokens = self.programs.get(entry.program).map_or(0, |program| program.tokens);
+        let new_tokens = u64::from(*prompt_tokens).saturating_sub(previous_tokens);
+        new_tokens * self.cfg.prefill_per_token + entry.expected_output * self.token_time()
     }
 
-    /// The queue of a pool, or the one for calls of its outliers.
-    fn queue(&mut self, pool: PoolKey, owner: &Owner, outlier: bool) -> &mut FairQueue {
-        let queues = if outlier { &mut self.outliers } else { &mut self.queues };
+    /// The queue of a pool for regular calls or for calls of outliers.
+    fn queue(&mut self, pool: PoolKey, owner: &Owner, is_outlier: bool) -> &mut FairQueue {
+        let queues = if is_outlier { &mut self.outlier_queues } else { &mut self.queues };
         if !queues.contains_key(pool) {
-            let queue = if self.parts.shares {
+            let queue = if self.components.shares {
                 FairQueue::new(micros(self.cfg.share_slack), micros(self.cfg.team_slack))
             } else {
                 FairQueue::new(u64::MAX, u64::MAX)
@@ -122,24 +126,24 @@
         queue
     }
 
-    fn admit(&mut self, now: Timestamp, call: &Call) -> Result<PoolKey, RefusalReason> {
+    fn validate(&mut self, now: Timestamp, call: &Call) -> Result<PoolKey, RefusalReason> {
         let pool = self.fleet.pool_for(&call.work).ok_or(RefusalReason::NoBackend)?;
         if call.deadline.is_some_and(|deadline| deadline <= now) {
             return Err(RefusalReason::Deadline);
         }
-        let waiting = self.waiting(pool);
+        let waiting = self.queue_len(pool);
         if waiting >= self.cfg.queue_limit {
             return Err(RefusalReason::Overload);
         }
-        if self.repeats(call) > self.cfg.repeat_limit {
+        if self.count_repeats(call) > self.cfg.repeat_limit {
             return Err(RefusalReason::Runaway);
         }
         Ok(pool)
     }
 
-    /// Counts equal prompts in a row. A loop that grows its history is not seen here; it sinks in
-    /// the order of service and meets the turn limit and the budget of its program.
-    fn repeats(&mut self, call: &Call) -> u32 {
+    /// Counts consecutive repetitions of a prompt. Loops with growing prompts are not detected here; the order of
+    /// service, the turn limit and the budget of the program contain them.
+    fn count_repeats(&mut self, call: &Call) -> u32 {
         let Work::Model { blocks, prompt_tokens, .. } = &call.work else {
             return 0;
         };
@@ -149,32 +153,32 @@
         let Some(program) = self.programs.get_mut(key) else {
             return 0;
         };
-        let equal = program.prompt_tokens == u64::from(*prompt_tokens)
+        let is_repeated = program.prompt_tokens == u64::from(*prompt_tokens)
             && !blocks.is_empty()
             && program.blocks.last() == blocks.last();
-        program.repeats = if equal { program.repeats + 1 } else { 0 };
-        program.repeats
+        program.repeated_prompts = if is_repeated { program.repeated_prompts + 1 } else { 0 };
+        program.repeated_prompts
     }
 
-    fn enter(&mut self, now: Timestamp, call: &Call) -> ProgramKey {
+    fn track_program(&mut self, now: Timestamp, call: &Call) -> ProgramKey {
         let rule = self.classes.rule(&call.program.partner, &call.class);
-        let key = self.programs.enter(&call.program, &call.class, rule.keepalive, now);
-        self.unpause(now, key);
+        let key = self.programs.get_or_insert(&call.program, &call.class, rule.keepalive, now);
+        self.end_pause(now, key);
         if let Some(program) = self.programs.get_mut(key) {
             program.calls += 1;
         }
         key
     }
 
-    fn enter_root(&mut self, now: Timestamp, call: &Call, program: ProgramKey) -> ProgramKey {
+    fn track_root(&mut self, now: Timestamp, call: &Call, program: ProgramKey) -> ProgramKey {
         if call.root == call.program {
             return program;
         }
         let rule = self.classes.rule(&call.root.partner, &call.class);
-        self.programs.enter(&call.root, &call.class, rule.keepalive, now)
+        self.programs.get_or_insert(&call.root, &call.class, rule.keepalive, now)
     }
 
-    fn unpause(&mut self, now: Timestamp, key: ProgramKey) {
+    fn end_pause(&mut self, now: Timestamp, key: ProgramKey) {
         let Some(program) = self.programs.get_mut(key) else {
             return;
         };
@@ -182,15 +186,15 @@
             return;
         };
         let class: Arc<str> = program.class.clone();
-        self.returns.record(&class, pause.tool.as_ref(), now.since(pause.since));
-        self.no_longer_idle(key, pause.expected);
+        self.pauses.record(&class, pause.tool.as_ref(), now.since(pause.since));
+        self.remove_idle_program(key, pause.expected_end);
     }
 
     fn expected_output(&self, call: &Call) -> u64 {
         let Work::Model { max_tokens, .. } = &call.work else {
             return 0;
         };
-        let usual = self.classes.expected_output(&call.program.partner, &call.class);
-        usual.min(u64::from(*max_tokens))
+        let average = self.classes.expected_output(&call.program.partner, &call.class);
+        average.min(u64::from(*max_tokens))
     }
 }
--- a/agatetrestle/src/scheduler/core/tests.rs
+++ b/agatetrestle/src/scheduler/core/tests.rs
@@ -1,4 +1,4 @@
-//! The scheduler keeps its bounds and forgets what is over.
+//! Tests of limits, retries, refusals and the release of state.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -12,8 +12,8 @@
 use crate::programs::command::Repeatable;
 use crate::scheduler::Scheduler;
 use crate::scheduler::config::SchedulerConfig;
+use crate::scheduler::core::Components;
 use crate::scheduler::core::Core;
-use crate::scheduler::core::Parts;
 use crate::scheduler::event::Action;
 use crate::scheduler::event::Backend;
 use crate::scheduler::event::CacheCommand;
@@ -26,10 +26,10 @@
 use crate::scheduler::event::Failure;
 use crate::scheduler::event::RefusalReason;
 use crate::scheduler::event::Work;
-use crate::scheduler::order::ByProgram;
-use crate::scheduler::order::Candidate;
-use crate::scheduler::order::Measure;
 use crate::scheduler::order::Order;
+use crate::scheduler::order::ProgramOrder;
+use crate::scheduler::order::RankBy;
+use crate::scheduler::order::RankInput;
 
 const KEEPALIVE: Duration = Duration::from_mins(1);
 const SECOND: u64 = 1_000_000;
@@ -40,14 +40,14 @@
 
 fn core_with_cache(engines: u32, slots: u32, cache_tokens: u64) -> Core {
     let cfg = SchedulerConfig::default();
-    let parts = Parts {
-        order: Box::new(ByProgram::new(&cfg, Measure::Rest)),
+    let components = Components {
+        order: Box::new(ProgramOrder::new(&cfg, RankBy::Remaining)),
         placer: Box::new(CostPlacer::new(&cfg, true, 1)),
         retention: true,
         health: true,
         shares: true,
     };
-    let mut core = Core::new(parts, cfg, 1);
+    let mut core = Core::new(components, cfg, 1);
     let mut catalog = Catalog::default();
     for number in 0..engines {
         catalog.backends.push(Backend {
@@ -94,14 +94,14 @@
     sent.collect()
 }
 
-fn finish(core: &mut Core, at: u64, id: u64) -> Decisions {
-    core.step(Timestamp(at), Event::FirstToken(CallId(id)));
+fn finish(core: &mut Core, micros: u64, id: u64) -> Decisions {
+    core.step(Timestamp(micros), Event::FirstToken(CallId(id)));
     let finished = Event::Finished { call: CallId(id), output_tokens: 50, cached_tokens: 0 };
-    core.step(Timestamp(at), finished)
+    core.step(Timestamp(micros), finished)
 }
 
 #[test]
-fn everything_is_forgotten_when_programs_end() {
+fn frees_all_state_when_programs_end() {
     let mut core = core(2, 4);
     for id in 1..=100u64 {
         let now = id * SECOND;
@@ -112,16 +112,16 @@
         let decisions = core.step(Timestamp(now + SECOND / 2), Event::Ended(ended));
         assert!(matches!(decisions.cache_commands[..], [CacheCommand::Release { .. }]), "{decisions:?}");
     }
-    assert_eq!(core.remembered(), (0, 0));
+    assert_eq!(core.tracked_counts(), (0, 0));
     for (_, server) in &core.fleet.servers {
         assert_eq!((server.running, server.pinned_tokens, server.idle_tokens), (0, 0, 0));
-        assert_eq!((server.pending_prefill, server.idle.len()), (0, 0));
+        assert_eq!((server.pending_prefill, server.idle_programs.len()), (0, 0));
     }
-    assert!(core.doors.values().all(|door| door.reserved() == 0));
+    assert!(core.admissions.values().all(|admission| admission.reserved() == 0));
 }
 
 #[test]
-fn a_silent_program_is_released_within_its_keepalive() {
+fn releases_inactive_programs_after_the_keepalive() {
     let mut core = core(1, 4);
     core.step(Timestamp(0), Event::Submit(call(1, "silent", 1, Repeatable::Yes)));
     finish(&mut core, SECOND, 1);
@@ -129,11 +129,11 @@
     assert!(before.cache_commands.is_empty(), "{before:?}");
     let after = core.step(Timestamp(62 * SECOND), Event::Tick);
     assert!(matches!(after.cache_commands[..], [CacheCommand::Release { .. }]), "{after:?}");
-    assert_eq!(core.remembered(), (0, 0));
+    assert_eq!(core.tracked_counts(), (0, 0));
 }
 
 #[test]
-fn slots_are_never_exceeded_and_every_call_is_sent_once() {
+fn sends_each_call_once_within_the_slots() {
     let mut core = core(2, 3);
     let mut sent = HashSet::new();
     for id in 1..=40u64 {
@@ -141,11 +141,11 @@
         sent.extend(dispatched(&core.step(Timestamp(id), submitted)));
     }
     assert_eq!(sent.len(), 6);
-    let mut waiting: Vec<CallId> = sent.iter().copied().collect();
-    while let Some(id) = waiting.pop() {
+    let mut in_service: Vec<CallId> = sent.iter().copied().collect();
+    while let Some(id) = in_service.pop() {
         for next in dispatched(&finish(&mut core, SECOND, id.0)) {
             assert!(sent.insert(next), "{next:?} was sent twice");
-            waiting.push(next);
+            in_service.push(next);
         }
         assert!(core.backend_states().iter().all(|state| state.running <= 3));
     }
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_lost_call_that_may_not_be_repeated_is_given_up() {
+fn gives_up_lost_calls_that_are_not_repeatable() {
     let mut core = core(2, 4);
     core.step(Timestamp(0), Event::Submit(call(1, "pays", 1, Repeatable::No)));
     let failed = Event::Failed { call: CallId(1), failure: Failure::Lost };
@@ -162,20 +162,20 @@
 }
 
 #[test]
-fn a_call_that_was_not_sent_goes_elsewhere() {
+fn retries_unsent_calls_on_another_server() {
     let mut core = core(2, 4);
     let first = core.step(Timestamp(0), Event::Submit(call(1, "pays", 1, Repeatable::No)));
     let failed = Event::Failed { call: CallId(1), failure: Failure::Connect };
     let second = core.step(Timestamp(SECOND), failed);
-    let to = |decisions: &Decisions| match decisions.actions[..] {
+    let destination = |decisions: &Decisions| match decisions.actions[..] {
         [Action::Dispatch { backend, .. }] => backend,
         _ => panic!("{decisions:?}"),
     };
-    assert_ne!(to(&first), to(&second));
+    assert_ne!(destination(&first), destination(&second));
 }
 
 #[test]
-fn a_leaving_server_gets_no_new_call() {
+fn sends_no_new_calls_to_leaving_servers() {
     let mut core = core(1, 4);
     core.step(Timestamp(0), Event::Leaving { name: "vm-0".into(), leaving: true });
     let decisions = core.step(Timestamp(1), Event::Submit(call(1, "late", 1, Repeatable::Yes)));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_program_that_repeats_itself_is_turned_away() {
+fn refuses_programs_that_repeat_a_prompt() {
     let mut core = core(1, 4);
     let mut refused = 0;
     for id in 1..=30u64 {
@@ -197,11 +197,11 @@
         }
     }
     assert!(refused > 0);
-    assert_eq!(core.remembered().0, 0);
+    assert_eq!(core.tracked_counts().0, 0);
 }
 
 #[test]
-fn a_call_past_its_deadline_is_not_sent() {
+fn refuses_calls_past_their_deadline() {
     let mut core = core(1, 1);
     core.step(Timestamp(0), Event::Submit(call(1, "first", 1, Repeatable::Yes)));
     let late = Call { deadline: Some(Timestamp(SECOND)), ..call(2, "second", 2, Repeatable::Yes) };
@@ -215,26 +215,26 @@
 }
 
 #[test]
-fn no_call_ranks_behind_a_younger_one_beyond_the_aging_bound() {
+fn aging_bounds_the_delay_behind_younger_calls() {
     let cfg = SchedulerConfig::default();
-    let order = ByProgram::new(&cfg, Measure::Rest);
-    let candidate = |submitted, rest| Candidate {
+    let order = ProgramOrder::new(&cfg, RankBy::Remaining);
+    let input = |submitted, remaining| RankInput {
         submitted: Timestamp(submitted),
-        attained: rest,
-        rest,
-        waited: Duration::ZERO,
+        attained: remaining,
+        remaining,
+        queue_time: Duration::ZERO,
         expected: 0,
         priority: 5,
     };
     let bound = crate::clock::micros(cfg.aging_bound);
-    for rest in [0, SECOND, 1_000 * SECOND, u64::MAX] {
-        let oldest = order.rank(&candidate(0, rest));
-        assert!(oldest <= order.rank(&candidate(bound, 0)), "{rest}");
+    for remaining in [0, SECOND, 1_000 * SECOND, u64::MAX] {
+        let oldest = order.rank(&input(0, remaining));
+        assert!(oldest <= order.rank(&input(bound, 0)), "{remaining}");
     }
 }
 
 #[test]
-fn a_cache_of_undeclared_size_holds_nothing_back() {
+fn sends_all_calls_if_the_cache_size_is_undeclared() {
     let mut core = core_with_cache(1, 8, 0);
     let mut sent = 0;
     for id in 1..=8u64 {
--- a/agatetrestle/src/scheduler/event.rs
+++ b/agatetrestle/src/scheduler/event.rs
@@ -1,7 +1,6 @@
-//! What the scheduler is told and what it decides.
+//! Events that the scheduler processes and the decisions that it returns.
 //!
-//! The same events come from the daemon and from a recorded trace, so that a replay runs the very
-//! code that serves; see docs/TRACE.md.
+//! The daemon and the replay of a recorded trace send the same events; see docs/TRACE.md.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,26 +14,26 @@
 use crate::programs::command::Repeatable;
 
 new_key_type! {
-    /// Key of a backend server in the catalog; it stays the same while the name is declared.
+    /// Key of a backend server, stable while its name is declared with the same kind and service.
     pub struct BackendKey;
 }
 
-/// Number of a call attempt series, chosen by the driver and unique within the process.
+/// Identifier of a call over all of its attempts, assigned by the driver and unique within the process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CallId(pub u64);
 
-/// What a call asks for.
+/// The request of a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Work {
     /// A model call.
     Model {
         /// The model.
         model: Arc<str>,
-        /// Hashes of the prompt's blocks, each over all before it, so that equal hashes mean equal prefixes.
+        /// Hash chain over the blocks of the prompt, so that equal hashes mean equal prefixes.
         blocks: Arc<[u64]>,
-        /// Tokens of the prompt.
+        /// Length of the prompt.
         prompt_tokens: u32,
-        /// Most tokens of the answer.
+        /// Maximum length of the response.
         max_tokens: u32,
     },
     /// A call to a tool service or plain service.
@@ -44,33 +43,33 @@
     },
 }
 
-/// A call that wants to be sent.
+/// A call submitted to the scheduler.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Call {
-    /// Its number.
+    /// Its identifier.
     pub id: CallId,
     /// The program that makes it.
     pub program: ProgramId,
-    /// The outermost program of which this is a sub-agent, or the program itself.
+    /// The outermost ancestor of a sub-agent, or the program itself.
     pub root: ProgramId,
     /// Team within the partner.
     pub team: Arc<str>,
     /// Declared class.
     pub class: Arc<str>,
-    /// What it asks for.
+    /// The request.
     pub work: Work,
-    /// Whether it may be sent more than once.
+    /// Whether it may be retried after bytes were sent.
     pub repeatable: Repeatable,
-    /// When the caller no longer wants the answer.
+    /// Time after which the caller discards the response.
     pub deadline: Option<Timestamp>,
 }
 
-/// A backend server as the scheduler knows it.
+/// A declared backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Backend {
     /// Declared name.
     pub name: Arc<str>,
-    /// Engine or service replica.
+    /// Whether it is an engine or a service replica.
     pub kind: BackendKind,
     /// The model or service it serves.
     pub serves: Arc<str>,
@@ -78,30 +77,29 @@
     pub vm: Arc<str>,
     /// Its failure domain.
     pub failure_domain: Arc<str>,
-    /// Requests it takes at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Prefix cache in tokens.
+    /// Size of its prefix cache in tokens, 0 if undeclared.
     pub cache_tokens: u64,
 }
 
-/// A class as the scheduler knows it.
+/// Declared rule of a class.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ClassRule {
-    /// Higher goes first.
+    /// Higher priorities are served first.
     pub priority: u8,
-    /// Wished time from first call to final answer.
+    /// Target time from the first call to the final response.
     pub deadline: Option<Duration>,
-    /// Time without a call after which cache is released.
+    /// Time without a call after which a prefix is released.
     pub keepalive: Duration,
 }
 
-/// What the declarations in force say to the scheduler. Names of teams and classes are qualified
-/// by the partner.
+/// Declarations in force. Names of teams and classes are qualified by the partner.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Catalog {
     /// Backend servers in declared order.
     pub backends: Vec<Backend>,
-    /// Share of each partner.
+    /// Share by partner.
     pub shares: BTreeMap<Arc<str>, u32>,
     /// Weight of each team by partner and name.
     pub teams: BTreeMap<(Arc<str>, Arc<str>), u32>,
@@ -109,7 +107,7 @@
     pub classes: BTreeMap<(Arc<str>, Arc<str>), ClassRule>,
 }
 
-/// A load report; it lags.
+/// A delayed load report of a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Load {
     /// Requests in service.
@@ -120,80 +118,79 @@
     pub age: Duration,
 }
 
-/// Change of an engine's prefix cache; events come late and with gaps.
+/// Change of an engine's prefix cache. Changes arrive late, and some are lost.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CacheChange {
-    /// Blocks that were stored.
+    /// Blocks were stored.
     Stored(Arc<[u64]>),
-    /// Blocks that were evicted.
+    /// Blocks were evicted.
     Evicted(Arc<[u64]>),
-    /// The engine lost or cleared everything.
+    /// The cache was lost or cleared.
     Cleared,
 }
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Failure {
-    /// No connection could be made, so nothing was sent.
+    /// The connection failed, so nothing was sent.
     Connect,
-    /// The backend server said that it did not start the call.
+    /// The backend server rejected the call before starting it.
     Refused,
-    /// Bytes were sent and no progress was seen in time, or the connection broke.
+    /// After bytes were sent, the call timed out without progress or the connection was lost.
     Lost,
-    /// A whole answer came that reports an error.
+    /// A complete response reported an error.
     Error,
 }
 
-/// Something the scheduler must know.
+/// An input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The declarations in force changed.
     Catalog(Arc<Catalog>),
-    /// A call wants to be sent.
+    /// A call was submitted.
     Submit(Call),
-    /// The first token of an answer came.
+    /// The first token of a response arrived.
     FirstToken(CallId),
-    /// A whole answer came.
+    /// A complete response arrived.
     Finished {
         /// The call.
         call: CallId,
-        /// Tokens generated, 0 for services.
+        /// Generated tokens, 0 for services.
         output_tokens: u32,
-        /// Prompt tokens that the engine found in its cache.
+        /// Prompt tokens that the engine read from its cache.
         cached_tokens: u32,
     },
-    /// An attempt failed; the answer is a new dispatch or a [`Action::GiveUp`].
+    /// An attempt failed. The call is dispatched again or ends with [`Action::GiveUp`].
     Failed {
         /// The call.
         call: CallId,
-        /// How.
+        /// How it failed.
         failure: Failure,
     },
-    /// The caller is gone; nothing more is dispatched for this call.
+    /// The caller disconnected. The call is not dispatched again.
     Cancelled(CallId),
-    /// A load report came.
+    /// A load report arrived.
     Load {
         /// Name of the backend server.
         backend: Arc<str>,
-        /// What it says.
+        /// The report.
         load: Load,
     },
-    /// A cache event came.
+    /// A cache change was reported.
     Cache {
         /// Name of the backend server.
         backend: Arc<str>,
-        /// What it says.
+        /// The change.
         change: CacheChange,
     },
-    /// A backend server, or all on a VM, is leaving; `false` where a newer incarnation is back.
+    /// A backend server, or all on a VM, is leaving or has returned.
     Leaving {
         /// Name of the VM or backend server.
         name: Arc<str>,
-        /// Whether it leaves.
+        /// Whether it is leaving; `false` for a newer incarnation.
         leaving: bool,
     },
-    /// The answer that a program just got asks for a tool, as far as the driver can tell. Telling
-    /// this is optional; it lets the expected length of the pause be learned by tool.
+    /// The latest response of a program requests a tool. Optional: it improves the estimate of the pause.
     Paused {
         /// The program.
         program: ProgramId,
@@ -202,71 +199,71 @@
     },
     /// A program has ended.
     Ended(ProgramId),
-    /// Time passed.
+    /// Periodic tick.
     Tick,
 }
 
-/// Why a call was turned away before anything was sent.
+/// Why a call was refused before anything was sent.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RefusalReason {
     /// No declared backend server serves the model or service.
     NoBackend,
-    /// The queue for the call's partner or class is full or too slow.
+    /// The queue is full, or the call waited too long for admission.
     Overload,
-    /// The deadline can't be met.
+    /// The deadline has passed.
     Deadline,
-    /// The program repeats itself beyond what the rules allow.
+    /// The program repeated the same prompt too often.
     Runaway,
 }
 
-/// What the driver must do.
+/// A decision about a call, carried out by the driver.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Send the call to this backend server.
     Dispatch {
         /// The call.
         call: CallId,
-        /// Where to.
+        /// The backend server.
         backend: BackendKey,
-        /// Priority for an engine, higher first.
+        /// Priority within the engine; higher ones are served first.
         priority: u8,
     },
-    /// Turn the call away; it did not run.
+    /// Refuse the call, of which nothing was sent.
     Refuse {
         /// The call.
         call: CallId,
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// When the caller may come back.
+        /// Minimum delay before the caller retries.
         retry_after: Duration,
     },
-    /// No further attempt; the last failure stands.
+    /// Make no further attempt and report the last failure.
     GiveUp {
         /// The call.
         call: CallId,
-        /// When the caller may come back.
+        /// Minimum delay before the caller retries.
         retry_after: Duration,
     },
 }
 
-/// An order about an engine's cache, told apart from [`Action`] because losing one is harmless.
+/// A command about an engine's prefix cache. Unlike an [`Action`], it may be lost.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CacheCommand {
-    /// Drop what the program holds beyond shared prefixes.
+    /// Drop the program's prefix, except for shared blocks.
     Release {
         /// The program.
         program: ProgramId,
         /// The engine.
         backend: BackendKey,
     },
-    /// Move what the program holds out of engine memory until it is needed.
+    /// Move the program's prefix from engine memory to external storage.
     Export {
         /// The program.
         program: ProgramId,
         /// The engine.
         backend: BackendKey,
     },
-    /// Bring it back, perhaps to another engine.
+    /// Load an exported prefix, possibly into another engine.
     Import {
         /// The program.
         program: ProgramId,
@@ -275,11 +272,11 @@
     },
 }
 
-/// Everything one step decided.
+/// The decisions of one step.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Decisions {
-    /// About calls, in order.
+    /// Actions on calls, in order.
     pub actions: Vec<Action>,
-    /// About caches.
+    /// Commands to engine caches.
     pub cache_commands: Vec<CacheCommand>,
 }
--- a/agatetrestle/src/scheduler/fleet.rs
+++ b/agatetrestle/src/scheduler/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers with all that is known of their load, by pool of equal service.
+//! Backend servers with their load, grouped into pools that serve the same model or service.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -24,61 +24,61 @@
     pub struct PoolKey;
 }
 
-const UNDECLARED_CACHE: u64 = 1 << 40;
-const NORMAL_PACE: u64 = 100;
-const PACE_WEIGHT: u64 = 8;
+const UNDECLARED_CACHE_TOKENS: u64 = 1 << 40;
+const INITIAL_SLOWDOWN_PERCENT: u64 = 100;
+const SLOWDOWN_WINDOW: u64 = 8;
 
-/// One backend server and what this node has to do with it.
+/// A backend server and its state on this node.
 #[derive(Debug)]
 pub struct Server {
-    /// As declared.
+    /// Its declaration.
     pub backend: Backend,
     /// Its pool.
     pub pool: PoolKey,
-    /// This node's calls in service there.
+    /// This node's calls in service on it.
     pub running: u32,
-    /// Calls in service and waiting there on behalf of other nodes, by its last report.
-    pub foreign: u32,
-    /// Most calls that this node sends at once.
+    /// Calls of other nodes, in service or waiting, by its last load report.
+    pub remote_calls: u32,
+    /// Maximum number of this node's concurrent calls.
     pub limit: u32,
-    /// Tokens of prompts and expected answers in service, shared prefixes not counted.
+    /// Tokens of prompts and expected responses in service, without shared prefixes.
     pub pinned_tokens: u64,
-    /// Tokens held for programs in a pause, shared prefixes not counted.
+    /// Cached tokens of paused programs, without shared prefixes.
     pub idle_tokens: u64,
-    /// Programs in a pause by when they are expected back.
-    pub idle: BTreeSet<(Timestamp, ProgramKey)>,
-    /// Prompt tokens to compute before the last one sent has its first token.
+    /// Paused programs, ordered by the expected time of their next call.
+    pub idle_programs: BTreeSet<(Timestamp, ProgramKey)>,
+    /// Prompt tokens in service that are still to be computed.
     pub pending_prefill: u64,
-    /// Waiting calls that were held back for this server in the last passes.
+    /// Waiting calls that the current dispatch pass keeps for this server.
     pub deferred_calls: u32,
-    /// Blocks believed to be in its prefix cache.
+    /// Estimated content of its prefix cache.
     pub residency: Residency,
-    /// Time of a generated token against what is expected, in percent.
+    /// Time per generated token as a percentage of the expected time.
     pub slowdown_percent: u64,
-    /// No new call before this time.
-    pub resting_until: Timestamp,
-    /// The watch over its outcomes.
-    pub watch: Option<Box<dyn OutlierDetector>>,
-    /// How often it was ejected in a row.
+    /// It gets no new call before this time; 0 without a backoff.
+    pub backoff_until: Timestamp,
+    /// Detector of failures, created at its first outcome.
+    pub outlier_detector: Option<Box<dyn OutlierDetector>>,
+    /// Consecutive ejections.
     pub ejections: u32,
-    /// Whether it was found unhealthy.
+    /// Whether it is ejected as unhealthy.
     pub ejected: bool,
-    /// Whether it is about to leave.
+    /// Whether it, or its VM, is leaving.
     pub leaving: bool,
-    open_at: Option<usize>,
+    open_index: Option<usize>,
 }
 
 impl Server {
-    /// Calls there as far as is known.
+    /// Known calls on it, of this node and others.
     #[must_use]
     pub fn load(&self) -> u32 {
-        self.running + self.foreign
+        self.running + self.remote_calls
     }
 
-    /// Whether a call may be sent to it now.
+    /// Whether it accepts a call and has a free slot.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.open_at.is_some()
+        self.open_index.is_some()
     }
 
     /// Whether it is an engine.
@@ -87,167 +87,167 @@
         self.backend.kind == BackendKind::Engine
     }
 
-    /// Tokens that its prefix cache may hold for programs, at this share in percent. A size that is not
-    /// declared bounds nothing.
+    /// `percent` of its prefix cache in tokens. An undeclared size counts as unlimited.
     #[must_use]
     pub fn cache_budget(&self, percent: u64) -> u64 {
         match self.backend.cache_tokens {
-            0 => UNDECLARED_CACHE,
+            0 => UNDECLARED_CACHE_TOKENS,
             tokens => tokens * percent / 100,
         }
     }
 
-    /// Takes in the time of a generated token against what was expected, in percent.
-    pub fn observe_pace(&mut self, percent: u64) {
-        self.slowdown_percent = ((self.slowdown_percent * (PACE_WEIGHT - 1) + percent) / PACE_WEIGHT).max(1);
+    /// Records the time per generated token as a percentage of the expected time.
+    pub fn record_token_time(&mut self, percent: u64) {
+        self.slowdown_percent =
+            ((self.slowdown_percent * (SLOWDOWN_WINDOW - 1) + percent) / SLOWDOWN_WINDOW).max(1);
     }
 
-    /// Whether it takes calls at all.
+    /// Whether it accepts calls, free slots aside.
     #[must_use]
     pub fn usable(&self) -> bool {
-        !self.leaving && !self.ejected && self.resting_until == Timestamp(0)
+        !self.leaving && !self.ejected && self.backoff_until == Timestamp(0)
     }
 }
 
-/// Backend servers that serve the same.
+/// Backend servers that serve the same model or service.
 #[derive(Debug, Default)]
 pub struct Pool {
-    /// All of them, in declared order.
+    /// All members, in order of insertion.
     pub members: Vec<BackendKey>,
-    /// Those that may be sent a call now.
+    /// Members that accept a call now.
     pub open: Vec<BackendKey>,
-    /// This node's calls in service at all members.
+    /// This node's calls in service on all members.
     pub running: u64,
-    /// Calls in service of programs that attained far more than is usual for their class.
-    pub outliers: u64,
+    /// Calls in service of programs that have attained far more service than the mean of their class.
+    pub outlier_calls: u64,
 }
 
-/// All backend servers.
+/// All backend servers and pools.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    /// The servers.
+    /// Servers by key.
     pub servers: SlotMap<BackendKey, Server>,
-    /// The pools.
+    /// Pools by key.
     pub pools: SlotMap<PoolKey, Pool>,
-    names: HashMap<Arc<str>, BackendKey>,
+    by_name: HashMap<Arc<str>, BackendKey>,
     by_service: HashMap<(bool, Arc<str>), PoolKey>,
     leaving: HashSet<Arc<str>>,
 }
 
 impl Fleet {
-    /// Takes in the declarations; returns the keys that are gone.
-    pub fn declare(&mut self, catalog: &Catalog) -> Vec<BackendKey> {
+    /// Applies the declarations and returns the keys of removed servers.
+    pub fn set_catalog(&mut self, catalog: &Catalog) -> Vec<BackendKey> {
         let declared: HashSet<&Arc<str>> = catalog.backends.iter().map(|b| &b.name).collect();
-        let mut gone = Vec::new();
-        self.names.retain(|name, key| {
-            let stays = declared.contains(name);
-            if !stays {
-                gone.push(*key);
+        let mut removed = Vec::new();
+        self.by_name.retain(|name, key| {
+            let retained = declared.contains(name);
+            if !retained {
+                removed.push(*key);
             }
-            stays
+            retained
         });
-        gone.sort_unstable();
-        for key in &gone {
+        removed.sort_unstable();
+        for key in &removed {
             self.remove(*key);
         }
         for backend in &catalog.backends {
-            self.declare_one(backend);
+            self.set_backend(backend);
         }
-        gone
+        removed
     }
 
-    /// The pool that serves some work.
+    /// Looks up the pool for a request.
     #[must_use]
     pub fn pool_for(&self, work: &Work) -> Option<PoolKey> {
-        let wanted = match work {
+        let service = match work {
             Work::Model { model, .. } => (true, model.clone()),
             Work::Service { service } => (false, service.clone()),
         };
-        let pool = self.by_service.get(&wanted).copied()?;
+        let pool = self.by_service.get(&service).copied()?;
         (!self.pools[pool].members.is_empty()).then_some(pool)
     }
 
-    /// The server of this name.
+    /// Looks up a server by name.
     #[must_use]
-    pub fn named(&self, name: &Arc<str>) -> Option<BackendKey> {
-        self.names.get(name).copied()
+    pub fn find(&self, name: &Arc<str>) -> Option<BackendKey> {
+        self.by_name.get(name).copied()
     }
 
-    /// Counts a call that is sent.
+    /// Counts a call as sent to a server.
     pub fn acquire(&mut self, key: BackendKey) {
         if let Some(server) = self.servers.get_mut(key) {
             server.running += 1;
             self.pools[server.pool].running += 1;
         }
-        self.refresh(key);
+        self.update_open(key);
     }
 
-    /// Counts a call that is no longer in service.
+    /// Counts a call as no longer in service on a server.
     pub fn release(&mut self, key: BackendKey) {
         if let Some(server) = self.servers.get_mut(key) {
             server.running = server.running.saturating_sub(1);
             let pool = &mut self.pools[server.pool];
             pool.running = pool.running.saturating_sub(1);
         }
-        self.refresh(key);
+        self.update_open(key);
     }
 
-    /// Takes in a load report.
-    pub fn report(&mut self, key: BackendKey, load: Load) {
+    /// Applies a load report.
+    pub fn update_load(&mut self, key: BackendKey, load: Load) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.foreign = load.running.saturating_add(load.waiting).saturating_sub(server.running);
+            server.remote_calls = load.running.saturating_add(load.waiting).saturating_sub(server.running);
         }
-        self.refresh(key);
+        self.update_open(key);
     }
 
-    /// Marks a VM or backend server as leaving or back; returns the servers concerned.
-    pub fn leave(&mut self, name: &Arc<str>, leaving: bool) -> Vec<BackendKey> {
+    /// Marks a VM or backend server as leaving or returned, and returns the affected servers.
+    pub fn set_leaving(&mut self, name: &Arc<str>, leaving: bool) -> Vec<BackendKey> {
         if leaving {
             self.leaving.insert(name.clone());
         } else {
             self.leaving.remove(name);
         }
-        let concerned: Vec<BackendKey> = self
+        let affected: Vec<BackendKey> = self
             .servers
             .iter()
             .filter(|(_, server)| server.backend.name == *name || server.backend.vm == *name)
             .map(|(key, _)| key)
             .collect();
-        for key in &concerned {
+        for key in &affected {
             let backend = &self.servers[*key].backend;
-            let marked = self.leaving.contains(&backend.name) || self.leaving.contains(&backend.vm);
-            self.servers[*key].leaving = marked;
-            self.refresh(*key);
+            let is_leaving = self.leaving.contains(&backend.name) || self.leaving.contains(&backend.vm);
+            self.servers[*key].leaving = is_leaving;
+            self.update_open(*key);
         }
-        concerned
+        affected
     }
 
-    /// Brings the list of open servers up to date with one server.
-    pub fn refresh(&mut self, key: BackendKey) {
+    /// Updates the membership of a server in its pool's list of open servers.
+    pub fn update_open(&mut self, key: BackendKey) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
         let open = server.usable() && server.running < server.limit;
         let pool = &mut self.pools[server.pool];
-        match (open, server.open_at) {
+        match (open, server.open_index) {
             (true, None) => {
-                server.open_at = Some(pool.open.len());
+                server.open_index = Some(pool.open.len());
                 pool.open.push(key);
             }
-            (false, Some(at)) => {
-                server.open_at = None;
-                pool.open.swap_remove(at);
-                if let Some(moved) = pool.open.get(at) {
-                    self.servers[*moved].open_at = Some(at);
+            (false, Some(index)) => {
+                server.open_index = None;
+                pool.open.swap_remove(index);
+                if let Some(moved) = pool.open.get(index) {
+                    self.servers[*moved].open_index = Some(index);
                 }
             }
             _ => {}
         }
     }
 
-    fn declare_one(&mut self, backend: &Backend) {
+    fn set_backend(&mut self, backend: &Backend) {
         let leaving = self.leaving.contains(&backend.name) || self.leaving.contains(&backend.vm);
-        let key = match self.names.get(&backend.name) {
+        let key = match self.by_name.get(&backend.name) {
             Some(key) if self.same_service(*key, backend) => *key,
             known => {
                 if let Some(key) = known.copied() {
@@ -260,7 +260,7 @@
         server.limit = backend.slots;
         server.leaving = leaving;
         server.backend = backend.clone();
-        self.refresh(key);
+        self.update_open(key);
     }
 
     fn same_service(&self, key: BackendKey, backend: &Backend) -> bool {
@@ -276,24 +276,24 @@
             backend: backend.clone(),
             pool,
             running: 0,
-            foreign: 0,
+            remote_calls: 0,
             limit: backend.slots,
             pinned_tokens: 0,
             idle_tokens: 0,
-            idle: BTreeSet::new(),
+            idle_programs: BTreeSet::new(),
             pending_prefill: 0,
             deferred_calls: 0,
             residency: Residency::default(),
-            slowdown_percent: NORMAL_PACE,
-            resting_until: Timestamp(0),
-            watch: None,
+            slowdown_percent: INITIAL_SLOWDOWN_PERCENT,
+            backoff_until: Timestamp(0),
+            outlier_detector: None,
             ejections: 0,
             ejected: false,
             leaving: false,
-            open_at: None,
+            open_index: None,
         });
         self.pools[pool].members.push(key);
-        self.names.insert(backend.name.clone(), key);
+        self.by_name.insert(backend.name.clone(), key);
         key
     }
 
@@ -301,7 +301,7 @@
         if let Some(server) = self.servers.get_mut(key) {
             server.limit = 0;
         }
-        self.refresh(key);
+        self.update_open(key);
         if let Some(server) = self.servers.remove(key) {
             let pool = &mut self.pools[server.pool];
             pool.running = pool.running.saturating_sub(server.running.into());
--- a/agatetrestle/src/scheduler/mod.rs
+++ b/agatetrestle/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
-//! The decisions: order of service, placing, retention, limits, retries and health.
+//! Scheduling of calls: order of service, placement, retention, admission, retries and health.
 //!
-//! A [`Scheduler`] is told [`event::Event`] and answers with [`event::Decisions`]. It is pure, so
-//! that the daemon and the replay run the same code; see docs/design/005-order-of-service.md.
+//! A [`Scheduler`] maps each [`event::Event`] to [`event::Decisions`] without I/O, so that the daemon and the
+//! replay run the same code; see docs/design/005-order-of-service.md.
 
 pub mod classes;
 pub mod config;
@@ -12,8 +12,8 @@
 pub mod policy;
 pub mod programs;
 pub mod random;
-pub mod residual;
 pub mod round_robin;
+pub mod service_histogram;
 
 use std::time::Duration;
 
@@ -27,28 +27,28 @@
 pub use crate::scheduler::policy::Policy;
 pub use crate::scheduler::policy::build;
 
-/// Everything that decides about calls. `now` never runs backwards.
+/// A scheduling policy with its state. `now` must not decrease.
 pub trait Scheduler {
-    /// Takes in one event and decides.
+    /// Processes one event and returns the resulting decisions.
     fn step(&mut self, now: Timestamp, event: Event) -> Decisions;
 
-    /// The backend server behind a key, as long as it is declared.
+    /// Looks up a declared backend server.
     fn backend(&self, key: BackendKey) -> Option<&Backend>;
 
-    /// The longest time the driver may wait before the next [`Event::Tick`].
+    /// Maximum time between two [`Event::Tick`]s.
     fn tick_interval(&self) -> Duration;
 
-    /// Calls in service and waiting, by backend server, for listings.
+    /// The state of every backend server, for listings.
     fn backend_states(&self) -> Vec<BackendState>;
 }
 
-/// A backend server in listings.
+/// State of a backend server in listings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BackendState {
-    /// Key of the backend server.
+    /// The backend server.
     pub key: BackendKey,
-    /// This node's calls in service there.
+    /// This node's calls in service on it.
     pub running: u32,
-    /// Whether new calls may go there: `ready`, `leaving` or `ejected`.
+    /// Whether it accepts new calls: `ready`, `leaving` or `ejected`.
     pub state: &'static str,
 }
--- a/agatetrestle/src/scheduler/order.rs
+++ b/agatetrestle/src/scheduler/order.rs
@@ -1,4 +1,4 @@
-//! Order of service: which waiting call goes first; see docs/design/005-order-of-service.md.
+//! Order of service of waiting calls; see docs/design/005-order-of-service.md.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,96 +9,95 @@
 
 const PERCENT: u64 = 100;
 
-/// What a rank is made from.
+/// Properties of a call that determine its rank.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate {
-    /// When the call was submitted.
+pub struct RankInput {
+    /// Time of submission.
     pub submitted: Timestamp,
-    /// Service that the program, counted with its sub-agents, has attained, in microseconds of
-    /// engine time.
+    /// Service attained by the program and its sub-agents, in microseconds of engine time.
     pub attained: u64,
-    /// Service that the program is expected to need yet, in microseconds of engine time.
-    pub rest: u64,
-    /// Time that calls of the program have waited so far.
-    pub waited: Duration,
-    /// Engine time that the call is expected to take, in microseconds.
+    /// Expected remaining service of the program, in microseconds of engine time.
+    pub remaining: u64,
+    /// Total queue time of the calls of the program.
+    pub queue_time: Duration,
+    /// Expected service of the call, in microseconds of engine time.
     pub expected: u64,
     /// Priority of its class, higher first.
     pub priority: u8,
 }
 
-/// Ranks calls; the lowest rank goes first. A rank never changes while a call waits, so that the
-/// wait of any call is bounded by the spread of ranks.
+/// Ranks calls; the lowest rank is served first. A rank is fixed while a call waits, so the spread of ranks
+/// bounds how long any call is overtaken.
 pub trait Order: fmt::Debug {
-    /// The rank of a call.
-    fn rank(&self, candidate: &Candidate) -> u64;
+    /// Computes the rank of a call.
+    fn rank(&self, input: &RankInput) -> u64;
 }
 
-/// First come first served.
+/// First come, first served.
 #[derive(Clone, Copy, Debug)]
-pub struct FirstCome;
+pub struct Fcfs;
 
-impl Order for FirstCome {
-    fn rank(&self, candidate: &Candidate) -> u64 {
-        candidate.submitted.0
+impl Order for Fcfs {
+    fn rank(&self, input: &RankInput) -> u64 {
+        input.submitted.0
     }
 }
 
-/// Shortest call first, which starves long ones; a baseline only.
+/// Shortest call first. Starves long calls, so it serves only as a baseline.
 #[derive(Clone, Copy, Debug)]
 pub struct ShortestCall;
 
 impl Order for ShortestCall {
-    fn rank(&self, candidate: &Candidate) -> u64 {
-        candidate.expected
+    fn rank(&self, input: &RankInput) -> u64 {
+        input.expected
     }
 }
 
-/// By what makes a program likely to end soon, with aging and, ahead of it, the priority of the class.
+/// Least attained or remaining service of the program first, with class priorities and bounded aging.
 #[derive(Clone, Copy, Debug)]
-pub struct ByProgram {
-    measure: Measure,
-    factor: u64,
-    bound: u64,
-    step: u64,
-    credit: u64,
+pub struct ProgramOrder {
+    rank_by: RankBy,
+    delay_factor: u64,
+    max_delay: u64,
+    priority_step: u64,
+    wait_credit: u64,
 }
 
-/// What the order by program goes by.
+/// The service of a program that [`ProgramOrder`] ranks by.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Measure {
-    /// Least attained service.
+pub enum RankBy {
+    /// Service attained so far.
     Attained,
-    /// Least expected rest of service.
-    Rest,
+    /// Expected remaining service.
+    Remaining,
 }
 
-impl ByProgram {
-    /// Takes factor, bound, step and credit from the configuration.
+impl ProgramOrder {
+    /// Creates an order with the parameters of a configuration.
     #[must_use]
-    pub fn new(cfg: &SchedulerConfig, measure: Measure) -> Self {
+    pub fn new(cfg: &SchedulerConfig, rank_by: RankBy) -> Self {
         Self {
-            measure,
-            factor: match measure {
-                Measure::Attained => cfg.attained_factor,
-                Measure::Rest => cfg.rest_factor,
+            rank_by,
+            delay_factor: match rank_by {
+                RankBy::Attained => cfg.attained_factor,
+                RankBy::Remaining => cfg.rest_factor,
             },
-            bound: micros(cfg.aging_bound),
-            step: micros(cfg.priority_step),
-            credit: cfg.wait_credit,
+            max_delay: micros(cfg.aging_bound),
+            priority_step: micros(cfg.priority_step),
+            wait_credit: cfg.wait_credit,
         }
     }
 }
 
-impl Order for ByProgram {
-    fn rank(&self, candidate: &Candidate) -> u64 {
-        let service = match self.measure {
-            Measure::Attained => candidate.attained,
-            Measure::Rest => candidate.rest,
+impl Order for ProgramOrder {
+    fn rank(&self, input: &RankInput) -> u64 {
+        let service = match self.rank_by {
+            RankBy::Attained => input.attained,
+            RankBy::Remaining => input.remaining,
         };
-        let credit = micros(candidate.waited).saturating_mul(self.credit) / PERCENT;
-        let delay = service.saturating_mul(self.factor).saturating_sub(credit).min(self.bound);
-        let behind = u64::from(u8::MAX - candidate.priority) * self.step;
-        candidate.submitted.0.saturating_add(delay).saturating_add(behind)
+        let credit = micros(input.queue_time).saturating_mul(self.wait_credit) / PERCENT;
+        let delay = service.saturating_mul(self.delay_factor).saturating_sub(credit).min(self.max_delay);
+        let priority_delay = u64::from(u8::MAX - input.priority) * self.priority_step;
+        input.submitted.0.saturating_add(delay).saturating_add(priority_delay)
     }
 }
--- a/agatetrestle/src/scheduler/policy.rs
+++ b/agatetrestle/src/scheduler/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that can be chosen by name, each a choice of parts.
+//! Named scheduling policies.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -11,41 +11,41 @@
 use crate::placing::sticky::Sticky;
 use crate::scheduler::Scheduler;
 use crate::scheduler::config::SchedulerConfig;
+use crate::scheduler::core::Components;
 use crate::scheduler::core::Core;
-use crate::scheduler::core::Parts;
-use crate::scheduler::order::ByProgram;
-use crate::scheduler::order::FirstCome;
-use crate::scheduler::order::Measure;
+use crate::scheduler::order::Fcfs;
+use crate::scheduler::order::ProgramOrder;
+use crate::scheduler::order::RankBy;
 use crate::scheduler::order::ShortestCall;
 use crate::scheduler::round_robin::RoundRobinScheduler;
 
-/// How calls are ordered, placed and kept.
+/// A combination of order of service, placement and retention.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Policy {
-    /// First come first served over round robin.
+    /// First come, first served with round robin placement.
     RoundRobin,
-    /// First come first served, each call to the least loaded server.
+    /// First come, first served, each call on the least loaded server.
     LeastLoad,
-    /// First come first served, each program to the server that was least loaded at its first call.
+    /// First come, first served, each program on the server that was least loaded at its first call.
     Sticky,
-    /// Shortest call first over sticky sessions.
+    /// Shortest call first with sticky placement.
     Shortest,
-    /// Least attained service over sticky sessions.
+    /// Least attained service with sticky placement.
     Order,
-    /// First come first served, placed by cost with retention.
+    /// First come, first served, with placement by cost and retention.
     Placing,
-    /// Least attained service, placed by cost, without retention.
+    /// Like [`Policy::Attained`], without retention.
     NoRetention,
-    /// Everything but the shares of partners and teams.
+    /// Like [`Policy::Attained`], without shares of partners and teams and without health checks.
     NoShares,
-    /// Everything, but by attained service in place of the expected rest.
+    /// Like [`Policy::Adaptive`], ordered by attained instead of remaining service.
     Attained,
-    /// Everything together.
+    /// Least remaining service, with placement by cost, retention, shares and health checks.
     #[default]
     Adaptive,
 }
 
-/// Every policy with its name.
+/// All policies by name.
 pub const POLICIES: [(&str, Policy); 10] = [
     ("round_robin", Policy::RoundRobin),
     ("least_load", Policy::LeastLoad),
@@ -60,7 +60,7 @@
 ];
 
 impl Policy {
-    /// The name by which it is chosen.
+    /// The name in [`POLICIES`].
     #[must_use]
     pub fn name(self) -> &'static str {
         let found = POLICIES.iter().find(|(_, policy)| *policy == self);
@@ -68,7 +68,7 @@
     }
 }
 
-/// No policy has this name.
+/// A name that no policy has.
 #[derive(Debug, Snafu)]
 #[snafu(display("no policy is named {name}"))]
 pub struct UnknownPolicy {
@@ -84,77 +84,81 @@
     }
 }
 
-/// Makes the scheduler of a policy; equal seeds decide equally.
+/// Creates the scheduler of a policy. Its decisions are deterministic for a given seed.
 #[must_use]
 pub fn build(policy: Policy, cfg: SchedulerConfig, seed: u64) -> Box<dyn Scheduler> {
-    // The baselines look at every waiting call, so that no server idles while a call could go there.
-    let thorough = SchedulerConfig { pass_skips: usize::MAX, ..cfg.clone() };
-    let baseline = [Policy::Sticky, Policy::Shortest, Policy::Order].contains(&policy);
-    let first_come = || Box::new(FirstCome);
-    let attained = |cfg: &SchedulerConfig| Box::new(ByProgram::new(cfg, Measure::Attained));
-    let rest = |cfg: &SchedulerConfig| Box::new(ByProgram::new(cfg, Measure::Rest));
-    let cost = |cfg: &SchedulerConfig, moves| Box::new(CostPlacer::new(cfg, moves, seed));
-    let parts = match policy {
+    // Sticky placement tries every waiting call, so that no server idles while a call could be sent to it.
+    let full_scan = SchedulerConfig { pass_skips: usize::MAX, ..cfg.clone() };
+    let is_sticky = [Policy::Sticky, Policy::Shortest, Policy::Order].contains(&policy);
+    let fcfs = || Box::new(Fcfs);
+    let attained = |cfg: &SchedulerConfig| Box::new(ProgramOrder::new(cfg, RankBy::Attained));
+    let remaining = |cfg: &SchedulerConfig| Box::new(ProgramOrder::new(cfg, RankBy::Remaining));
+    let cost = |cfg: &SchedulerConfig, imports| Box::new(CostPlacer::new(cfg, imports, seed));
+    let components = match policy {
         Policy::RoundRobin => return Box::new(RoundRobinScheduler::default()),
-        Policy::LeastLoad => Parts {
-            order: first_come(),
+        Policy::LeastLoad => Components {
+            order: fcfs(),
             placer: Box::new(LeastLoad),
             retention: false,
             health: false,
             shares: false,
         },
-        Policy::Sticky => Parts {
-            order: first_come(),
+        Policy::Sticky => Components {
+            order: fcfs(),
             placer: Box::new(Sticky),
             retention: false,
             health: false,
             shares: false,
         },
-        Policy::Shortest => Parts {
+        Policy::Shortest => Components {
             order: Box::new(ShortestCall),
             placer: Box::new(Sticky),
             retention: false,
             health: false,
             shares: false,
         },
-        Policy::Order => Parts {
+        Policy::Order => Components {
             order: attained(&cfg),
             placer: Box::new(Sticky),
             retention: false,
             health: false,
             shares: false,
         },
-        Policy::Placing => Parts {
-            order: first_come(),
+        Policy::Placing => Components {
+            order: fcfs(),
             placer: cost(&cfg, true),
             retention: true,
             health: false,
             shares: false,
         },
-        Policy::NoRetention => Parts {
+        Policy::NoRetention => Components {
             order: attained(&cfg),
             placer: cost(&cfg, false),
             retention: false,
             health: true,
             shares: true,
         },
-        Policy::NoShares => Parts {
+        Policy::NoShares => Components {
             order: attained(&cfg),
             placer: cost(&cfg, true),
             retention: true,
             health: false,
             shares: false,
         },
-        Policy::Attained => Parts {
+        Policy::Attained => Components {
             order: attained(&cfg),
             placer: cost(&cfg, true),
             retention: true,
             health: true,
             shares: true,
         },
-        Policy::Adaptive => {
-            Parts { order: rest(&cfg), placer: cost(&cfg, true), retention: true, health: true, shares: true }
-        }
+        Policy::Adaptive => Components {
+            order: remaining(&cfg),
+            placer: cost(&cfg, true),
+            retention: true,
+            health: true,
+            shares: true,
+        },
     };
-    Box::new(Core::new(parts, if baseline { thorough } else { cfg }, seed))
+    Box::new(Core::new(components, if is_sticky { full_scan } else { cfg }, seed))
 }
--- a/agatetrestle/src/scheduler/programs.rs
+++ b/agatetrestle/src/scheduler/programs.rs
@@ -1,4 +1,4 @@
-//! The programs that have calls or cache on this node's account.
+//! State of the programs that have calls or cached prefixes through this node.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -13,117 +13,117 @@
 use crate::scheduler::event::BackendKey;
 use crate::scheduler::fleet::PoolKey;
 
-/// A program whose keepalive ran out while it has calls is looked at again after this time.
-const RECHECK: Duration = Duration::from_secs(1);
+/// Delay of the next check if the keepalive of a program expires while it has calls.
+const EXPIRY_RECHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 new_key_type! {
-    /// Key of a program in the table.
+    /// Key of a program in [`Programs`].
     pub struct ProgramKey;
 }
 
-/// Where a program's prefix is.
+/// Location of a program's prefix.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum PrefixLocation {
-    /// Nowhere as far as is known.
+    /// Not known to be cached.
     #[default]
     Unknown,
-    /// In the memory of an engine.
+    /// In the prefix cache of an engine.
     Cached(BackendKey),
     /// Exported from an engine.
     Exported(BackendKey),
 }
 
-/// A pause of a program.
+/// A pause between two calls of a program.
 #[derive(Clone, Debug)]
-pub struct Pause {
-    /// When its last answer came.
+pub struct ProgramPause {
+    /// End of the last call.
     pub since: Timestamp,
-    /// When it is expected back.
-    pub expected: Timestamp,
-    /// The tool that it waits for, if that is known.
+    /// Expected time of the next call.
+    pub expected_end: Timestamp,
+    /// The tool that the program waits for, if known.
     pub tool: Option<Arc<str>>,
 }
 
-/// What is remembered of a program; a few hundred bytes and the blocks of its last prompt.
+/// State of a program.
 #[derive(Debug)]
 pub struct Program {
-    /// The program.
+    /// Its identifier.
     pub id: ProgramId,
-    /// Its class.
+    /// Declared class.
     pub class: Arc<str>,
-    /// Service attained with its sub-agents, in microseconds of engine time.
+    /// Service attained by it and its sub-agents, in microseconds of engine time.
     pub attained: u64,
-    /// Time that its calls and those of its sub-agents have waited.
-    pub waited: Duration,
-    /// Where its prefix is.
-    pub place: PrefixLocation,
+    /// Total queue time of its calls and those of its sub-agents.
+    pub queue_time: Duration,
+    /// Location of its prefix.
+    pub prefix_location: PrefixLocation,
     /// The backend server of its last call.
-    pub home: Option<BackendKey>,
+    pub last_server: Option<BackendKey>,
     /// Blocks of its last prompt.
     pub blocks: Arc<[u64]>,
     /// Tokens of its last prompt.
     pub prompt_tokens: u64,
-    /// Tokens of its last prompt and answer.
+    /// Tokens of its last prompt and response.
     pub tokens: u64,
-    /// Leading blocks that were there before its first call.
+    /// Leading blocks that were already cached at its first call.
     pub shared_blocks: usize,
-    /// Leading tokens that were there before its first call, such as a system prompt.
+    /// Leading tokens that were already cached at its first call, such as a system prompt.
     pub shared_tokens: u64,
-    /// Calls that wait or are in service.
+    /// Calls waiting or in service.
     pub calls: u32,
-    /// The pause that it is in.
-    pub pause: Option<Pause>,
-    /// When it last did something.
-    pub active: Timestamp,
-    /// Time without a call after which its cache is released.
+    /// The current pause.
+    pub pause: Option<ProgramPause>,
+    /// Start or end of its latest call.
+    pub last_active: Timestamp,
+    /// Time without a call after which its prefix is released.
     pub keepalive: Duration,
-    /// Equal prompts in a row.
-    pub repeats: u32,
-    /// The pool at whose door tokens are booked for it, and how many.
-    pub booked: Option<(PoolKey, u64)>,
-    /// Whether any of its prefix was ever exported.
+    /// Consecutive repetitions of the same prompt.
+    pub repeated_prompts: u32,
+    /// Tokens reserved for it, and the pool that they are reserved in.
+    pub reservation: Option<(PoolKey, u64)>,
+    /// Whether its prefix has ever been exported.
     pub exported: bool,
-    /// Whether its tokens are counted as idle on the engine that holds them.
-    pub parked: bool,
+    /// Whether its tokens are included in the idle tokens of their engine.
+    pub counted_idle: bool,
 }
 
 impl Program {
-    /// Tokens that only this program holds.
+    /// Tokens of its prefix that no other program shares.
     #[must_use]
     pub fn own_tokens(&self) -> u64 {
         self.tokens.saturating_sub(self.shared_tokens)
     }
 }
 
-/// The table of programs, each with one entry in the order of expiry.
+/// Table of programs with their expiry times.
 #[derive(Debug, Default)]
 pub struct Programs {
     arena: SlotMap<ProgramKey, Program>,
-    names: HashMap<ProgramId, ProgramKey>,
+    by_id: HashMap<ProgramId, ProgramKey>,
     expiry: BTreeSet<(Timestamp, ProgramKey)>,
-    due: HashMap<ProgramKey, Timestamp>,
+    expires_at: HashMap<ProgramKey, Timestamp>,
 }
 
 impl Programs {
-    /// The key of a program, which is entered if it is new.
-    pub fn enter(
+    /// Looks up a program and marks it as active, or inserts it.
+    pub fn get_or_insert(
         &mut self,
         id: &ProgramId,
         class: &Arc<str>,
         keepalive: Duration,
         now: Timestamp,
     ) -> ProgramKey {
-        if let Some(key) = self.names.get(id) {
-            self.arena[*key].active = now;
+        if let Some(key) = self.by_id.get(id) {
+            self.arena[*key].last_active = now;
             return *key;
         }
         let key = self.arena.insert(Program {
             id: id.clone(),
             class: class.clone(),
             attained: 0,
-            waited: Duration::ZERO,
-            place: PrefixLocation::Unknown,
-            home: None,
+            queue_time: Duration::ZERO,
+            prefix_location: PrefixLocation::Unknown,
+            last_server: None,
             blocks: Arc::default(),
             prompt_tokens: 0,
             tokens: 0,
@@ -131,74 +131,75 @@
             shared_tokens: 0,
             calls: 0,
             pause: None,
-            active: now,
+            last_active: now,
             keepalive,
-            repeats: 0,
-            booked: None,
+            repeated_prompts: 0,
+            reservation: None,
             exported: false,
-            parked: false,
+            counted_idle: false,
         });
-        self.names.insert(id.clone(), key);
+        self.by_id.insert(id.clone(), key);
         self.schedule(key, now + keepalive);
         key
     }
 
-    /// The key of a program, if it is known.
+    /// Looks up the key of a program.
     #[must_use]
     pub fn find(&self, id: &ProgramId) -> Option<ProgramKey> {
-        self.names.get(id).copied()
+        self.by_id.get(id).copied()
     }
 
-    /// A program by its key.
+    /// Looks up a program.
     #[must_use]
     pub fn get(&self, key: ProgramKey) -> Option<&Program> {
         self.arena.get(key)
     }
 
-    /// A program by its key, to be changed.
+    /// Looks up a program for modification.
     pub fn get_mut(&mut self, key: ProgramKey) -> Option<&mut Program> {
         self.arena.get_mut(key)
     }
 
-    /// Forgets a program.
+    /// Removes a program.
     pub fn remove(&mut self, key: ProgramKey) -> Option<Program> {
         let program = self.arena.remove(key)?;
-        self.names.remove(&program.id);
-        if let Some(due) = self.due.remove(&key) {
+        self.by_id.remove(&program.id);
+        if let Some(due) = self.expires_at.remove(&key) {
             self.expiry.remove(&(due, key));
         }
         Some(program)
     }
 
-    /// Takes out a program that did nothing for its keepalive, if there is one.
+    /// Returns the key of the next program that has been inactive for its keepalive and stops tracking its
+    /// expiry.
     pub fn take_expired(&mut self, now: Timestamp) -> Option<ProgramKey> {
         loop {
             let (due, key) = *self.expiry.first().filter(|(due, _)| *due <= now)?;
             self.expiry.remove(&(due, key));
-            self.due.remove(&key);
+            self.expires_at.remove(&key);
             let program = &self.arena[key];
-            let expires = program.active + program.keepalive;
+            let expires = program.last_active + program.keepalive;
             if program.calls == 0 && expires <= now {
                 return Some(key);
             }
-            self.schedule(key, expires.max(now + RECHECK));
+            self.schedule(key, expires.max(now + EXPIRY_RECHECK_INTERVAL));
         }
     }
 
-    /// Programs known.
+    /// Number of programs.
     #[must_use]
     pub fn len(&self) -> usize {
         self.arena.len()
     }
 
-    /// Whether no program is known.
+    /// Whether there are no programs.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.arena.is_empty()
     }
 
     fn schedule(&mut self, key: ProgramKey, due: Timestamp) {
-        self.due.insert(key, due);
+        self.expires_at.insert(key, due);
         self.expiry.insert((due, key));
     }
 }
--- a/agatetrestle/src/scheduler/round_robin.rs
+++ b/agatetrestle/src/scheduler/round_robin.rs
@@ -1,4 +1,4 @@
-//! First come first served over round robin: the baseline that every policy is measured against.
+//! First come, first served with round robin placement: the baseline for comparing policies.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -24,10 +24,10 @@
 use crate::scheduler::event::RefusalReason;
 use crate::scheduler::event::Work;
 
-const QUEUE_LIMIT: usize = 10_000;
+const MAX_QUEUED_CALLS: usize = 10_000;
 const MAX_ATTEMPTS: u32 = 3;
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-const TICK: Duration = Duration::from_secs(1);
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct Running {
@@ -37,40 +37,40 @@
 }
 
 #[derive(Debug)]
-struct Slot {
+struct BackendEntry {
     backend: Backend,
     running: u32,
 }
 
-/// Round robin over backend servers with a free slot; waiting calls go in order of arrival.
+/// Sends calls in order of arrival to backend servers with a free slot, in turn.
 #[derive(Debug, Default)]
 pub struct RoundRobinScheduler {
-    backends: SlotMap<BackendKey, Slot>,
-    names: HashMap<Arc<str>, BackendKey>,
+    backends: SlotMap<BackendKey, BackendEntry>,
+    by_name: HashMap<Arc<str>, BackendKey>,
     leaving: HashSet<Arc<str>>,
     queue: VecDeque<(Call, u32)>,
     running: HashMap<CallId, Running>,
-    turn: usize,
+    rotation: usize,
 }
 
 impl RoundRobinScheduler {
-    fn declare(&mut self, catalog: &Catalog) {
+    fn set_catalog(&mut self, catalog: &Catalog) {
         let declared: HashSet<&Arc<str>> = catalog.backends.iter().map(|b| &b.name).collect();
-        let gone: Vec<Arc<str>> =
-            self.names.keys().filter(|name| !declared.contains(name)).cloned().collect();
-        for name in gone {
-            if let Some(key) = self.names.remove(&name) {
+        let removed: Vec<Arc<str>> =
+            self.by_name.keys().filter(|name| !declared.contains(name)).cloned().collect();
+        for name in removed {
+            if let Some(key) = self.by_name.remove(&name) {
                 self.backends.remove(key);
             }
         }
         for backend in &catalog.backends {
-            if let Some(key) = self.names.get(&backend.name) {
+            if let Some(key) = self.by_name.get(&backend.name) {
                 self.backends[*key].backend = backend.clone();
                 continue;
             }
-            let slot = Slot { backend: backend.clone(), running: 0 };
-            let key = self.backends.insert(slot);
-            self.names.insert(backend.name.clone(), key);
+            let entry = BackendEntry { backend: backend.clone(), running: 0 };
+            let key = self.backends.insert(entry);
+            self.by_name.insert(backend.name.clone(), key);
         }
     }
 
@@ -89,37 +89,37 @@
         let free: Vec<BackendKey> = self
             .backends
             .iter()
-            .filter(|(_, slot)| Self::serves(&slot.backend, work))
-            .filter(|(_, slot)| !self.is_leaving(&slot.backend))
-            .filter(|(_, slot)| slot.running < slot.backend.slots)
+            .filter(|(_, entry)| Self::serves(&entry.backend, work))
+            .filter(|(_, entry)| !self.is_leaving(&entry.backend))
+            .filter(|(_, entry)| entry.running < entry.backend.slots)
             .map(|(key, _)| key)
             .collect();
         if free.is_empty() {
             return None;
         }
-        self.turn = self.turn.wrapping_add(1);
-        Some(free[self.turn % free.len()])
+        self.rotation = self.rotation.wrapping_add(1);
+        Some(free[self.rotation % free.len()])
     }
 
     fn dispatch_waiting(&mut self, decisions: &mut Decisions) {
-        let mut kept = VecDeque::new();
+        let mut still_waiting = VecDeque::new();
         while let Some((call, attempts)) = self.queue.pop_front() {
             let Some(backend) = self.choose(&call.work) else {
-                kept.push_back((call, attempts));
+                still_waiting.push_back((call, attempts));
                 continue;
             };
             self.backends[backend].running += 1;
             decisions.actions.push(Action::Dispatch { call: call.id, backend, priority: 0 });
             self.running.insert(call.id, Running { call, backend, attempts: attempts + 1 });
         }
-        self.queue = kept;
+        self.queue = still_waiting;
     }
 
     fn submit(&mut self, call: Call, decisions: &mut Decisions) {
-        let known = self.backends.values().any(|slot| Self::serves(&slot.backend, &call.work));
-        let reason = match known {
+        let is_served = self.backends.values().any(|entry| Self::serves(&entry.backend, &call.work));
+        let reason = match is_served {
             false => Some(RefusalReason::NoBackend),
-            true if self.queue.len() >= QUEUE_LIMIT => Some(RefusalReason::Overload),
+            true if self.queue.len() >= MAX_QUEUED_CALLS => Some(RefusalReason::Overload),
             true => None,
         };
         if let Some(reason) = reason {
@@ -131,19 +131,19 @@
 
     fn release(&mut self, call: CallId) -> Option<Running> {
         let running = self.running.remove(&call)?;
-        if let Some(slot) = self.backends.get_mut(running.backend) {
-            slot.running -= 1;
+        if let Some(entry) = self.backends.get_mut(running.backend) {
+            entry.running -= 1;
         }
         Some(running)
     }
 
-    fn fail(&mut self, call: CallId, failure: Failure, decisions: &mut Decisions) {
+    fn handle_failure(&mut self, call: CallId, failure: Failure, decisions: &mut Decisions) {
         let Some(running) = self.release(call) else {
             return;
         };
-        let unsent = matches!(failure, Failure::Connect | Failure::Refused);
-        let may_repeat = unsent || running.call.repeatable == Repeatable::Yes;
-        if may_repeat && failure != Failure::Error && running.attempts < MAX_ATTEMPTS {
+        let is_unsent = matches!(failure, Failure::Connect | Failure::Refused);
+        let can_retry = is_unsent || running.call.repeatable == Repeatable::Yes;
+        if can_retry && failure != Failure::Error && running.attempts < MAX_ATTEMPTS {
             self.queue.push_front((running.call, running.attempts));
             return;
         }
@@ -155,12 +155,12 @@
     fn step(&mut self, _now: Timestamp, event: Event) -> Decisions {
         let mut decisions = Decisions::default();
         match event {
-            Event::Catalog(catalog) => self.declare(&catalog),
+            Event::Catalog(catalog) => self.set_catalog(&catalog),
             Event::Submit(call) => self.submit(call, &mut decisions),
             Event::Finished { call, .. } => {
                 self.release(call);
             }
-            Event::Failed { call, failure } => self.fail(call, failure, &mut decisions),
+            Event::Failed { call, failure } => self.handle_failure(call, failure, &mut decisions),
             Event::Cancelled(call) => {
                 self.queue.retain(|(waiting, _)| waiting.id != call);
                 self.release(call);
@@ -183,21 +183,21 @@
     }
 
     fn backend(&self, key: BackendKey) -> Option<&Backend> {
-        self.backends.get(key).map(|slot| &slot.backend)
+        self.backends.get(key).map(|entry| &entry.backend)
     }
 
     fn tick_interval(&self) -> Duration {
-        TICK
+        TICK_INTERVAL
     }
 
     fn backend_states(&self) -> Vec<BackendState> {
-        let state = |slot: &Slot| {
-            if self.is_leaving(&slot.backend) { "leaving" } else { "ready" }
+        let state = |entry: &BackendEntry| {
+            if self.is_leaving(&entry.backend) { "leaving" } else { "ready" }
         };
-        let listing = |(key, slot): (BackendKey, &Slot)| BackendState {
+        let listing = |(key, entry): (BackendKey, &BackendEntry)| BackendState {
             key,
-            running: slot.running,
-            state: state(slot),
+            running: entry.running,
+            state: state(entry),
         };
         self.backends.iter().map(listing).collect()
     }
