--- a/agatetrestle/src/trace/mod.rs
+++ b/agatetrestle/src/trace/mod.rs
@@ -1,7 +1,6 @@
-//! The trace: one JSON line for each call of a program, without any text of prompts or answers.
+//! Trace format: a JSON line for each call of a program, without the texts of prompts and responses.
 //!
-//! The daemon records it and the replay drives the scheduler with it, so that a policy is judged
-//! on what really arrived; see docs/TRACE.md.
+//! The daemon records traces and the replay evaluates scheduling policies on them; see docs/TRACE.md.
 
 pub mod recorder;
 
@@ -12,7 +11,7 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// What kind of backend server a call goes to.
+/// Kind of backend server that a call is sent to.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallKind {
@@ -28,15 +27,15 @@
 pub struct Parent {
     /// Name of the parent within the same partner.
     pub program: Arc<str>,
-    /// The parent's call after which the sub-agent starts; the next one waits for the sub-agent.
+    /// Number of the parent's call after which the sub-agent starts. The next call waits for the sub-agent.
     pub call: u32,
 }
 
-/// What came before a call since the program's last answer.
+/// The pause between the previous response of a program and a call.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pause {
-    /// The tool that ran or the person who thought, by name.
+    /// Name of the tool or person that the program waited for.
     pub tool: Arc<str>,
     /// Length in microseconds.
     pub micros: u64,
@@ -46,7 +45,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceCall {
-    /// Partner that the program belongs to.
+    /// Partner of the program.
     pub partner: Arc<str>,
     /// Name of the program within the partner.
     pub program: Arc<str>,
@@ -54,21 +53,21 @@
     pub team: Arc<str>,
     /// Declared class.
     pub class: Arc<str>,
-    /// Where the program is a sub-agent, what started it.
+    /// The call that started the program, if it is a sub-agent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<Parent>,
-    /// Number of the call within its program, counting from 1.
+    /// Number of the call within its program, from 1.
     pub call: u32,
-    /// Whether this is the last call that the program made.
+    /// Whether this is the last call of the program.
     #[serde(default)]
     pub last: bool,
-    /// What it goes to.
+    /// Kind of its backend server.
     pub kind: CallKind,
     /// Name of the model or service.
     pub serves: Arc<str>,
-    /// Whether it may be sent more than once.
+    /// Whether it may be retried after bytes were sent.
     pub repeatable: bool,
-    /// Hashes of the full blocks of the prompt, each over all before it.
+    /// Hash chain over the full blocks of the prompt.
     #[serde(default)]
     pub blocks: Arc<[u64]>,
     /// Tokens in one block.
@@ -77,53 +76,53 @@
     /// Tokens of the prompt.
     #[serde(default)]
     pub prompt_tokens: u32,
-    /// Tokens of the answer, or microseconds of service time for a service.
+    /// Tokens of the response, or microseconds of service time for a service.
     pub output: u32,
-    /// What came between the previous answer and this call.
+    /// The pause before the call, unless it is the first.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pause: Option<Pause>,
-    /// Microseconds after arrival at which the caller no longer wants the answer.
+    /// Microseconds after arrival at which the caller discards the response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<u64>,
-    /// Microseconds since the start of the trace; a replay takes it from first calls only.
+    /// Microseconds since the start of the trace. A replay uses it for first calls only.
     pub arrival: u64,
-    /// Whether the end of the program was told; a program that died leaves this unset.
+    /// Whether the end of the program was reported; false if it was evicted without one.
     #[serde(default)]
     pub ended: bool,
 }
 
-/// Why a trace could not be read.
+/// Error of reading a trace.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum TraceError {
-    /// A line is not what docs/TRACE.md describes.
+    /// A line does not have the format of docs/TRACE.md.
     #[snafu(display("line {line}: {source}"))]
     Line {
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the parser expected.
+        /// The parser error.
         source: serde_json::Error,
     },
 }
 
-/// Reads a whole trace; empty lines are skipped.
+/// Parses a trace and skips empty lines.
 ///
 /// # Errors
 ///
-/// Fails at the first line that is not a [`TraceCall`].
+/// Fails on the first line that is not a [`TraceCall`].
 pub fn parse(text: &str) -> Result<Vec<TraceCall>, TraceError> {
     text.lines()
         .enumerate()
         .filter(|(_, line)| !line.is_empty())
-        .map(|(at, line)| serde_json::from_str(line).context(LineSnafu { line: at + 1 }))
+        .map(|(index, line)| serde_json::from_str(line).context(LineSnafu { line: index + 1 }))
         .collect()
 }
 
-/// Writes calls as lines of JSON.
+/// Formats calls as lines of JSON.
 ///
 /// # Errors
 ///
-/// Fails only if a value can't be written as JSON.
+/// Fails if a call cannot be serialized.
 pub fn format(calls: &[TraceCall]) -> Result<String, serde_json::Error> {
     let mut text = String::new();
     for call in calls {
--- a/agatetrestle/src/trace/recorder.rs
+++ b/agatetrestle/src/trace/recorder.rs
@@ -1,8 +1,7 @@
-//! Records the calls of this node as they pass the scheduler, in a bounded memory, and keeps the
-//! account of what they hold and waste of the engines' caches.
+//! Records the calls of this node in a bounded trace log, and tracks the usage of engine caches.
 //!
-//! A line is written when the program's next call has an answer or the program has ended, because only
-//! then is known whether the call was its last. Refused, cancelled and given-up calls leave no line.
+//! The line of a call is written when the next call of its program has finished or the program has ended, because
+//! it states whether the call was the last. Refused, cancelled and given-up calls are not recorded.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -38,16 +37,16 @@
 use crate::trace::TraceCall;
 use crate::trace::format;
 
-/// Bytes of lines that are kept; the oldest go first.
-pub const MAX_BYTES: usize = 8 << 20;
+/// Maximum size of the trace log; the oldest lines are evicted first.
+pub const MAX_TRACE_BYTES: usize = 8 << 20;
 
-/// Programs whose last call is held back; the one that was answered longest ago goes first.
-pub const MAX_PROGRAMS: usize = 1_000;
+/// Maximum number of tracked programs; the one with the oldest response is evicted first.
+pub const MAX_TRACED_PROGRAMS: usize = 1_000;
 
-/// Name of a pause whose tool nobody told.
+/// Tool of a pause for which none was reported.
 const UNKNOWN_TOOL: &str = "unknown";
 
-/// The newest lines, shared by the recorder and the RPC for operators.
+/// The newest trace lines, shared by the recorder and the operator RPC.
 #[derive(Default)]
 pub struct TraceLog(RefCell<Lines>);
 
@@ -59,183 +58,196 @@
 
 impl TraceLog {
     fn push(&self, line: &str) {
-        let mut kept = self.0.borrow_mut();
-        kept.bytes += line.len();
-        kept.lines.push_back(line.into());
-        while kept.bytes > MAX_BYTES {
-            let oldest = kept.lines.pop_front();
-            kept.bytes -= oldest.map_or(0, |line| line.len());
+        let mut log = self.0.borrow_mut();
+        log.bytes += line.len();
+        log.lines.push_back(line.into());
+        while log.bytes > MAX_TRACE_BYTES {
+            let oldest = log.lines.pop_front();
+            log.bytes -= oldest.map_or(0, |line| line.len());
         }
     }
 }
 
 impl Traces for TraceLog {
     fn recent(&self, limit: u32) -> Vec<Arc<str>> {
-        let kept = self.0.borrow();
-        let skipped = kept.lines.len().saturating_sub(limit as usize);
-        kept.lines.iter().skip(skipped).cloned().collect()
+        let log = self.0.borrow();
+        let skipped = log.lines.len().saturating_sub(limit as usize);
+        log.lines.iter().skip(skipped).cloned().collect()
     }
 }
 
-/// A scheduler that records what another one is told.
+/// Wraps a scheduler and records its events.
 pub struct RecordingScheduler {
     inner: Box<dyn Scheduler>,
     log: Rc<TraceLog>,
     recorder: Rc<dyn Recorder>,
-    account: CacheUsage,
-    open: HashMap<CallId, Open>,
-    programs: HashMap<ProgramId, Story>,
+    cache_usage: CacheUsage,
+    open_calls: HashMap<CallId, OpenCall>,
+    programs: HashMap<ProgramId, ProgramTrace>,
 }
 
-/// A call without an answer.
-struct Open {
+/// A call in progress.
+struct OpenCall {
     call: Call,
     arrived: Timestamp,
     sent: Timestamp,
 }
 
-/// What is known of a program so far.
 #[derive(Default)]
-struct Story {
-    calls: u32,
+struct ProgramTrace {
+    call_count: u32,
     parent: Option<Parent>,
-    answered: Option<Timestamp>,
+    last_response: Option<Timestamp>,
     tool: Option<Arc<str>>,
-    held: Option<TraceCall>,
-    cache: ProgramCacheUsage,
+    /// The latest finished call, not yet written.
+    unwritten: Option<TraceCall>,
+    cache_usage: ProgramCacheUsage,
 }
 
 impl RecordingScheduler {
-    /// Records what `inner` is told into `log`, and the account of caches by `recorder`.
+    /// Creates a scheduler that records the events of `inner` in `log` and its cache usage in `recorder`.
     #[must_use]
     pub fn new(inner: Box<dyn Scheduler>, log: Rc<TraceLog>, recorder: Rc<dyn Recorder>) -> Self {
-        let account = CacheUsage::default();
-        Self { inner, log, recorder, account, open: HashMap::new(), programs: HashMap::new() }
+        Self {
+            inner,
+            log,
+            recorder,
+            cache_usage: CacheUsage::default(),
+            open_calls: HashMap::new(),
+            programs: HashMap::new(),
+        }
     }
 
-    fn tell_account(&self) {
-        self.recorder.record_cache(self.account.held_tokens, self.account.wasted_tokens);
+    fn report_cache_usage(&self) {
+        self.recorder.record_cache(self.cache_usage.held_tokens, self.cache_usage.wasted_tokens);
     }
 
-    fn note_event(&mut self, now: Timestamp, event: &Event) {
+    fn record_event(&mut self, now: Timestamp, event: &Event) {
         match event {
             Event::Submit(call) => {
-                let open = Open { call: call.clone(), arrived: now, sent: now };
-                self.open.insert(call.id, open);
+                let open = OpenCall { call: call.clone(), arrived: now, sent: now };
+                self.open_calls.insert(call.id, open);
             }
             Event::Finished { call, output_tokens, cached_tokens } => {
-                self.finish(now, *call, *output_tokens, *cached_tokens);
+                self.record_finished(now, *call, *output_tokens, *cached_tokens);
             }
-            Event::Cancelled(call) => drop(self.open.remove(call)),
+            Event::Cancelled(call) => drop(self.open_calls.remove(call)),
             Event::Paused { program, tool } => {
-                if let Some(story) = self.programs.get_mut(program) {
-                    story.tool = Some(tool.clone());
+                if let Some(trace) = self.programs.get_mut(program) {
+                    trace.tool = Some(tool.clone());
                 }
             }
-            Event::Ended(program) => self.end(program, true),
+            Event::Ended(program) => self.end_program(program, true),
             _ => {}
         }
     }
 
-    fn note_action(&mut self, now: Timestamp, action: &Action) {
+    fn record_action(&mut self, now: Timestamp, action: &Action) {
         match action {
             Action::Dispatch { call, .. } => {
-                if let Some(open) = self.open.get_mut(call) {
+                if let Some(open) = self.open_calls.get_mut(call) {
                     open.sent = now;
                 }
             }
-            Action::Refuse { call, .. } | Action::GiveUp { call, .. } => drop(self.open.remove(call)),
+            Action::Refuse { call, .. } | Action::GiveUp { call, .. } => drop(self.open_calls.remove(call)),
         }
     }
 
-    fn note_order(&mut self, order: &CacheCommand) {
-        let (CacheCommand::Release { program, .. } | CacheCommand::Export { program, .. }) = order else {
+    fn record_cache_command(&mut self, command: &CacheCommand) {
+        let (CacheCommand::Release { program, .. } | CacheCommand::Export { program, .. }) = command else {
             return;
         };
-        if let Some(story) = self.programs.get_mut(program) {
-            self.account.record_release(&mut story.cache);
-            self.tell_account();
+        if let Some(trace) = self.programs.get_mut(program) {
+            self.cache_usage.record_release(&mut trace.cache_usage);
+            self.report_cache_usage();
         }
     }
 
-    fn finish(&mut self, now: Timestamp, id: CallId, output_tokens: u32, cached_tokens: u32) {
-        let Some(open) = self.open.remove(&id) else {
+    fn record_finished(&mut self, now: Timestamp, id: CallId, output_tokens: u32, cached_tokens: u32) {
+        let Some(open) = self.open_calls.remove(&id) else {
             return;
         };
         let program = open.call.program.clone();
-        let mut story = self.programs.remove(&program).unwrap_or_else(|| self.begin(&open.call));
-        if let Some(earlier) = story.held.take() {
-            self.write(&earlier);
+        let mut trace = self.programs.remove(&program).unwrap_or_else(|| self.begin_program(&open.call));
+        if let Some(previous) = trace.unwritten.take() {
+            self.write(&previous);
         }
-        story.calls += 1;
-        let pause = story.answered.map(|at| Pause {
-            tool: story.tool.take().unwrap_or_else(|| UNKNOWN_TOOL.into()),
+        trace.call_count += 1;
+        let pause = trace.last_response.map(|at| Pause {
+            tool: trace.tool.take().unwrap_or_else(|| UNKNOWN_TOOL.into()),
             micros: micros(open.arrived.since(at)),
         });
         if let Work::Model { prompt_tokens, .. } = open.call.work {
             let (prompt, cached) = (prompt_tokens.into(), cached_tokens.into());
-            self.account.record_call(&mut story.cache, prompt, cached, output_tokens.into());
-            self.tell_account();
+            self.cache_usage.record_call(&mut trace.cache_usage, prompt, cached, output_tokens.into());
+            self.report_cache_usage();
         }
-        let span = now.since(open.sent);
-        story.held = Some(line(open, story.calls, story.parent.clone(), pause, output_tokens, span));
-        story.answered = Some(now);
-        self.programs.insert(program, story);
+        let service_time = now.since(open.sent);
+        trace.unwritten = Some(trace_call(
+            open,
+            trace.call_count,
+            trace.parent.clone(),
+            pause,
+            output_tokens,
+            service_time,
+        ));
+        trace.last_response = Some(now);
+        self.programs.insert(program, trace);
     }
 
-    fn begin(&mut self, call: &Call) -> Story {
-        if self.programs.len() >= MAX_PROGRAMS {
-            self.forget_oldest();
+    fn begin_program(&mut self, call: &Call) -> ProgramTrace {
+        if self.programs.len() >= MAX_TRACED_PROGRAMS {
+            self.evict_oldest();
         }
-        let is_child = call.root != call.program;
-        let parent = is_child.then(|| Parent {
+        let is_sub_agent = call.root != call.program;
+        let parent = is_sub_agent.then(|| Parent {
             program: call.root.name.clone(),
-            call: self.programs.get(&call.root).map_or(0, |story| story.calls),
+            call: self.programs.get(&call.root).map_or(0, |trace| trace.call_count),
         });
-        Story { parent, ..Story::default() }
+        ProgramTrace { parent, ..ProgramTrace::default() }
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.programs.iter().min_by_key(|(_, story)| story.answered);
+    fn evict_oldest(&mut self) {
+        let oldest = self.programs.iter().min_by_key(|(_, trace)| trace.last_response);
         if let Some(program) = oldest.map(|(program, _)| program.clone()) {
-            self.end(&program, false);
+            self.end_program(&program, false);
         }
     }
 
-    fn end(&mut self, program: &ProgramId, told: bool) {
-        let Some(story) = self.programs.remove(program) else {
+    fn end_program(&mut self, program: &ProgramId, reported: bool) {
+        let Some(trace) = self.programs.remove(program) else {
             return;
         };
-        self.account.record_end(story.cache);
-        self.tell_account();
-        if let Some(last) = story.held {
-            self.write(&TraceCall { last: true, ended: told, ..last });
+        self.cache_usage.record_end(trace.cache_usage);
+        self.report_cache_usage();
+        if let Some(last) = trace.unwritten {
+            self.write(&TraceCall { last: true, ended: reported, ..last });
         }
     }
 
     fn write(&self, call: &TraceCall) {
         match format(std::slice::from_ref(call)) {
             Ok(line) => self.log.push(line.trim_end()),
-            Err(e) => log::warn!("A call could not be recorded: {e}."),
+            Err(e) => log::warn!("Trace line could not be serialized: {e}."),
         }
     }
 }
 
-fn line(
-    open: Open,
+fn trace_call(
+    open: OpenCall,
     number: u32,
     parent: Option<Parent>,
     pause: Option<Pause>,
     output_tokens: u32,
-    span: Duration,
+    service_time: Duration,
 ) -> TraceCall {
-    let Open { call, arrived, .. } = open;
+    let OpenCall { call, arrived, .. } = open;
     let (kind, serves, blocks, prompt_tokens, output) = match call.work {
         Work::Model { model, blocks, prompt_tokens, .. } => {
             (CallKind::Model, model, blocks, prompt_tokens, output_tokens)
         }
         Work::Service { service } => {
-            let micros = u32::try_from(micros(span)).unwrap_or(u32::MAX);
+            let micros = u32::try_from(micros(service_time)).unwrap_or(u32::MAX);
             (CallKind::Service, service, Arc::default(), 0, micros)
         }
     };
@@ -263,13 +275,13 @@
 
 impl Scheduler for RecordingScheduler {
     fn step(&mut self, now: Timestamp, event: Event) -> Decisions {
-        self.note_event(now, &event);
+        self.record_event(now, &event);
         let decisions = self.inner.step(now, event);
         for action in &decisions.actions {
-            self.note_action(now, action);
+            self.record_action(now, action);
         }
-        for order in &decisions.cache_commands {
-            self.note_order(order);
+        for command in &decisions.cache_commands {
+            self.record_cache_command(command);
         }
         decisions
     }
--- a/agatetrestle/src/trace/recorder/tests.rs
+++ b/agatetrestle/src/trace/recorder/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the recorder.
+//! Tests of trace recording and cache usage.
 
 use std::cell::Cell;
 
@@ -8,15 +8,15 @@
 use crate::scheduler::event::RefusalReason;
 use crate::trace::parse;
 
-/// Dispatches every call at once, or refuses every one; a tick releases what `dawn` holds.
-struct Inner {
+/// Dispatches or refuses every call. A tick releases the prefix of `dawn`.
+struct StubScheduler {
     refuse: bool,
 }
 
 #[derive(Default)]
-struct Account(Cell<(u64, u64)>);
+struct CacheRecorder(Cell<(u64, u64)>);
 
-impl Recorder for Account {
+impl Recorder for CacheRecorder {
     fn record(&self, _: &Labels, _: &Measurement) {}
 
     fn record_cache(&self, held: u64, wasted: u64) {
@@ -24,12 +24,12 @@
     }
 }
 
-impl Scheduler for Inner {
+impl Scheduler for StubScheduler {
     fn step(&mut self, _: Timestamp, event: Event) -> Decisions {
-        let order = CacheCommand::Release { program: named("dawn"), backend: BackendKey::default() };
+        let release = CacheCommand::Release { program: program_id("dawn"), backend: BackendKey::default() };
         let call = match event {
             Event::Submit(call) => call,
-            Event::Tick => return Decisions { cache_commands: vec![order], ..Decisions::default() },
+            Event::Tick => return Decisions { cache_commands: vec![release], ..Decisions::default() },
             _ => return Decisions::default(),
         };
         let call = call.id;
@@ -55,21 +55,22 @@
     }
 }
 
-struct Rig {
+struct Fixture {
     recording: RecordingScheduler,
     log: Rc<TraceLog>,
-    account: Rc<Account>,
+    cache_recorder: Rc<CacheRecorder>,
     now: u64,
     calls: u64,
 }
 
-impl Rig {
+impl Fixture {
     fn new(refuse: bool) -> Self {
         let log = Rc::new(TraceLog::default());
-        let account = Rc::new(Account::default());
-        let recorder: Rc<dyn Recorder> = account.clone();
-        let recording = RecordingScheduler::new(Box::new(Inner { refuse }), Rc::clone(&log), recorder);
-        Self { recording, log, account, now: 0, calls: 0 }
+        let cache_recorder = Rc::new(CacheRecorder::default());
+        let recorder: Rc<dyn Recorder> = cache_recorder.clone();
+        let recording =
+            RecordingScheduler::new(Box::new(StubScheduler { refuse }), Rc::clone(&log), recorder);
+        Self { recording, log, cache_recorder, now: 0, calls: 0 }
     }
 
     fn step(&mut self, micros: u64, event: Event) {
@@ -82,8 +83,8 @@
         let id = CallId(self.calls);
         let call = Call {
             id,
-            program: named(program),
-            root: named(root),
+            program: program_id(program),
+            root: program_id(root),
             team: "dispatch".into(),
             class: "dawn".into(),
             work,
@@ -104,7 +105,7 @@
     }
 }
 
-fn named(name: &str) -> ProgramId {
+fn program_id(name: &str) -> ProgramId {
     ProgramId { partner: "vrsta".into(), name: name.into() }
 }
 
@@ -117,67 +118,67 @@
 }
 
 #[test]
-fn a_program_is_recorded_with_pauses_a_sub_agent_and_its_end() {
-    let mut rig = Rig::new(false);
-    let first = rig.submit(100, "dawn", "dawn", model());
-    rig.finish(50, first);
-    rig.step(0, Event::Paused { program: named("dawn"), tool: "calendar".into() });
-    let child = rig.submit(5, "search", "dawn", model());
-    rig.finish(20, child);
-    rig.step(0, Event::Ended(named("search")));
-    let second = rig.submit(30, "dawn", "dawn", service());
-    rig.finish(40, second);
-    assert_eq!(rig.calls().len(), 2, "the last call is held back until the end is told");
-    rig.step(0, Event::Ended(named("dawn")));
-    insta::assert_snapshot!(rig.log.recent(u32::MAX).join("\n"));
+fn records_pauses_sub_agents_and_ends_of_programs() {
+    let mut fixture = Fixture::new(false);
+    let first = fixture.submit(100, "dawn", "dawn", model());
+    fixture.finish(50, first);
+    fixture.step(0, Event::Paused { program: program_id("dawn"), tool: "calendar".into() });
+    let child = fixture.submit(5, "search", "dawn", model());
+    fixture.finish(20, child);
+    fixture.step(0, Event::Ended(program_id("search")));
+    let second = fixture.submit(30, "dawn", "dawn", service());
+    fixture.finish(40, second);
+    assert_eq!(fixture.calls().len(), 2, "the last call is not written before the end is reported");
+    fixture.step(0, Event::Ended(program_id("dawn")));
+    insta::assert_snapshot!(fixture.log.recent(u32::MAX).join("\n"));
 }
 
 #[test]
-fn the_account_of_caches_follows_answers_releases_and_ends() {
-    let mut rig = Rig::new(false);
-    let call = rig.submit(1, "dawn", "dawn", model());
-    rig.finish(1, call);
-    assert_eq!(rig.account.0.get(), (137, 0));
-    rig.step(1, Event::Tick);
-    assert_eq!(rig.account.0.get(), (0, 0));
-    let call = rig.submit(1, "dawn", "dawn", model());
-    rig.finish(1, call);
-    assert_eq!(rig.account.0.get(), (137, 130));
-    rig.step(0, Event::Ended(named("dawn")));
-    assert_eq!(rig.account.0.get(), (0, 267));
+fn tracks_cache_usage_of_responses_releases_and_ends() {
+    let mut fixture = Fixture::new(false);
+    let call = fixture.submit(1, "dawn", "dawn", model());
+    fixture.finish(1, call);
+    assert_eq!(fixture.cache_recorder.0.get(), (137, 0));
+    fixture.step(1, Event::Tick);
+    assert_eq!(fixture.cache_recorder.0.get(), (0, 0));
+    let call = fixture.submit(1, "dawn", "dawn", model());
+    fixture.finish(1, call);
+    assert_eq!(fixture.cache_recorder.0.get(), (137, 130));
+    fixture.step(0, Event::Ended(program_id("dawn")));
+    assert_eq!(fixture.cache_recorder.0.get(), (0, 267));
 }
 
 #[test]
-fn calls_without_an_answer_leave_no_line() {
-    let mut refused = Rig::new(true);
+fn skips_calls_without_a_response() {
+    let mut refused = Fixture::new(true);
     let call = refused.submit(1, "dawn", "dawn", model());
     refused.finish(1, call);
-    refused.step(0, Event::Ended(named("dawn")));
-    let mut cancelled = Rig::new(false);
+    refused.step(0, Event::Ended(program_id("dawn")));
+    let mut cancelled = Fixture::new(false);
     let call = cancelled.submit(1, "dawn", "dawn", model());
     cancelled.step(1, Event::Cancelled(call));
-    cancelled.step(0, Event::Ended(named("dawn")));
+    cancelled.step(0, Event::Ended(program_id("dawn")));
     assert!(refused.calls().is_empty());
     assert!(cancelled.calls().is_empty());
 }
 
 #[test]
-fn programs_that_never_end_are_written_once_there_are_too_many() {
-    let mut rig = Rig::new(false);
-    for i in 0..=MAX_PROGRAMS {
+fn evicts_the_oldest_of_too_many_programs() {
+    let mut fixture = Fixture::new(false);
+    for i in 0..=MAX_TRACED_PROGRAMS {
         let name = format!("dawn-{i}");
-        let call = rig.submit(1, &name, &name, service());
-        rig.finish(1, call);
+        let call = fixture.submit(1, &name, &name, service());
+        fixture.finish(1, call);
     }
-    let calls = rig.calls();
+    let calls = fixture.calls();
     assert_eq!(calls.len(), 1);
     assert_eq!((&*calls[0].program, calls[0].last, calls[0].ended), ("dawn-0", true, false));
 }
 
 #[test]
-fn lines_are_bounded_in_bytes_and_the_newest_stay() {
+fn keeps_the_newest_lines_within_the_byte_limit() {
     let log = TraceLog::default();
-    let line = "x".repeat(MAX_BYTES / 4);
+    let line = "x".repeat(MAX_TRACE_BYTES / 4);
     for _ in 0..6 {
         log.push(&line);
     }
