--- a/agatetrestle/src/attempts/catalog.rs
+++ b/agatetrestle/src/attempts/catalog.rs
@@ -35,7 +35,7 @@
 pub fn parse(configuration: &Configuration) -> Vec<(Arc<str>, Declarations)> {
     let mut documents = Vec::new();
     for (scope, document) in &configuration.documents {
-        match Declarations::read(scope, &document.text) {
+        match Declarations::parse_unchecked(scope, &document.text) {
             Ok(declarations) => documents.push((scope.clone(), declarations)),
             Err(e) => log::error!("Skipping an active document that can't be parsed: {e}."),
         }
--- a/agatetrestle/src/operator/handlers.rs
+++ b/agatetrestle/src/operator/handlers.rs
@@ -33,8 +33,9 @@
     /// Checks an offered document beside the shared one in force, if there is one.
     pub(super) fn check(&self, scope: &str, offered: &str) -> Result<(), ConfigError> {
         let shared = self.document(SHARED_SCOPE);
-        let shared = Declarations::read(SHARED_SCOPE, &shared.text).ok().filter(|_| shared.version > 0);
-        Declarations::parse_beside(scope, offered, shared.as_ref()).map(drop)
+        let shared =
+            Declarations::parse_unchecked(SHARED_SCOPE, &shared.text).ok().filter(|_| shared.version > 0);
+        Declarations::parse_with_shared(scope, offered, shared.as_ref()).map(drop)
     }
 
     /// Programs of one partner, or of all declared partners where `partner` is empty.
--- a/agatetrestle_config/src/declarations/mod.rs
+++ b/agatetrestle_config/src/declarations/mod.rs
@@ -188,7 +188,7 @@
     ///
     /// Fails on an unknown key, a wrong value or another document format.
     pub fn parse(scope: &str, text: &str) -> Result<Self, ConfigError> {
-        Self::parse_beside(scope, text, None)
+        Self::parse_with_shared(scope, text, None)
     }
 
     /// As [`Declarations::parse`], and also refuses a backend server that serves what neither this nor the
@@ -197,8 +197,8 @@
     /// # Errors
     ///
     /// Fails as [`Declarations::parse`] does.
-    pub fn parse_beside(scope: &str, text: &str, shared: Option<&Self>) -> Result<Self, ConfigError> {
-        let document = Self::read(scope, text)?;
+    pub fn parse_with_shared(scope: &str, text: &str, shared: Option<&Self>) -> Result<Self, ConfigError> {
+        let document = Self::parse_unchecked(scope, text)?;
         check::check(Checker { origin: scope, text }, &document, shared)?;
         Ok(document)
     }
@@ -209,7 +209,7 @@
     /// # Errors
     ///
     /// Fails only where the text has not the shape of a document.
-    pub fn read(scope: &str, text: &str) -> Result<Self, ConfigError> {
+    pub fn parse_unchecked(scope: &str, text: &str) -> Result<Self, ConfigError> {
         serde_norway::from_str(text).context(ParseSnafu { origin: scope })
     }
 }
--- a/agatetrestle_config/src/declarations/tests.rs
+++ b/agatetrestle_config/src/declarations/tests.rs
@@ -62,8 +62,8 @@
     let text = |model: &str| {
         format!("format: 1\nbackend_servers:\n  a: {{ kind: engine, serves: {model}, {SERVER} }}")
     };
-    assert!(Declarations::parse_beside("vrsta", &text("m"), Some(&shared)).is_ok());
-    assert!(Declarations::parse_beside("vrsta", &text("n"), Some(&shared)).is_err());
+    assert!(Declarations::parse_with_shared("vrsta", &text("m"), Some(&shared)).is_ok());
+    assert!(Declarations::parse_with_shared("vrsta", &text("n"), Some(&shared)).is_err());
     assert!(Declarations::parse("vrsta", &text("n")).is_ok(), "the shared document is not known here");
 }
 
@@ -71,5 +71,5 @@
 fn an_accepted_document_is_read_whatever_was_checked_since() {
     let accepted = "format: 1\nclasses: { x: { priority: 1, budget: 0 } }";
     assert!(Declarations::parse("vrsta", accepted).is_err());
-    assert_eq!(Declarations::read("vrsta", accepted).unwrap().classes.len(), 1);
+    assert_eq!(Declarations::parse_unchecked("vrsta", accepted).unwrap().classes.len(), 1);
 }
--- a/agatetrestle_config/tests/examples.rs
+++ b/agatetrestle_config/tests/examples.rs
@@ -56,7 +56,7 @@
     let read = |scope: &str| std::fs::read_to_string(folder.join(format!("{scope}.yaml"))).unwrap();
     let shared = Declarations::parse("shared", &read("shared")).unwrap();
     for scope in ["lernwerk", "vrsta"] {
-        Declarations::parse_beside(scope, &read(scope), Some(&shared)).unwrap();
+        Declarations::parse_with_shared(scope, &read(scope), Some(&shared)).unwrap();
         assert!(shared.shares.contains_key(scope));
     }
 }
--- a/agatetrestle_config/tests/pages.rs
+++ b/agatetrestle_config/tests/pages.rs
@@ -83,7 +83,7 @@
 
 #[test]
 fn the_page_names_every_field_of_a_declaration_with_its_default() {
-    let document = Declarations::read("shared", SMALLEST).unwrap();
+    let document = Declarations::parse_unchecked("shared", SMALLEST).unwrap();
     assert_named(DECLARATIONS, &keys("", &value(&document)));
     let empty = Declarations::parse("shared", "format: 1").unwrap();
     assert_named(DECLARATIONS, &keys("", &value(&empty)));
