--- a/agatetrestle_config/src/check.rs
+++ b/agatetrestle_config/src/check.rs
@@ -1,22 +1,21 @@
-//! Checks of single values, with the line that holds an offending one.
+//! Checks of single values; an error names the line of the rejected value.
 
 use std::time::Duration;
 
 use crate::error::ConfigError;
 
-/// Checks values of one file or document.
+/// Validates values of one file or document.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Checker<'a> {
-    /// Name of the file or document.
     pub(crate) origin: &'a str,
-    /// Its text.
+    /// Source text in which the line of a rejected value is looked up.
     pub(crate) text: &'a str,
 }
 
 impl Checker<'_> {
-    /// Refuses the value of `key`, a dotted path, unless it is as expected.
-    pub(crate) fn require(&self, met: bool, key: &str, expected: &str) -> Result<(), ConfigError> {
-        if met {
+    /// Rejects the value of `key`, a dotted path, unless `valid` is true.
+    pub(crate) fn require(&self, valid: bool, key: &str, expected: &str) -> Result<(), ConfigError> {
+        if valid {
             return Ok(());
         }
         Err(ConfigError::Invalid {
@@ -31,37 +30,37 @@
         self.require(value > 0, key, "a number above 0")
     }
 
-    pub(crate) fn lasting(&self, value: Duration, key: &str) -> Result<(), ConfigError> {
+    pub(crate) fn positive_duration(&self, value: Duration, key: &str) -> Result<(), ConfigError> {
         self.require(!value.is_zero(), key, "a duration above 0")
     }
 
-    pub(crate) fn named(&self, name: &str, key: &str) -> Result<(), ConfigError> {
-        let usable = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-        let met = !name.is_empty() && name.len() <= 64 && name.bytes().all(usable);
-        self.require(met, key, "a name of 1 to 64 letters, digits, dots, hyphens or underscores")
+    pub(crate) fn valid_name(&self, name: &str, key: &str) -> Result<(), ConfigError> {
+        let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
+        let valid = !name.is_empty() && name.len() <= 64 && name.bytes().all(allowed);
+        self.require(valid, key, "a name of 1 to 64 letters, digits, dots, hyphens or underscores")
     }
 }
 
-/// Finds the line of a dotted path in block style by indentation; where a part of the path is written
-/// in flow style, the line of the innermost part that was found, or else the first line.
+/// Returns the line of a dotted path, found by the indentation of block style. Parts in flow style are not found; the
+/// result is then the line of the innermost part that was found, or 1.
 fn line_of(text: &str, key: &str) -> usize {
-    let mut wanted = key.split('.').peekable();
+    let mut parts = key.split('.').peekable();
     let mut found = 1;
     let mut depth = None;
-    for (at, line) in text.lines().enumerate() {
+    for (index, line) in text.lines().enumerate() {
         let indent = line.len() - line.trim_start().len();
         let content = line.trim_start().trim_start_matches("- ");
         if content.is_empty() || content.starts_with('#') || depth.is_some_and(|depth| indent <= depth) {
             continue;
         }
-        let Some(part) = wanted.peek() else {
+        let Some(part) = parts.peek() else {
             break;
         };
         let name = content.split(':').next().unwrap_or_default().trim_matches(['"', '\'']);
         if name == *part {
-            found = at + 1;
+            found = index + 1;
             depth = Some(indent);
-            wanted.next();
+            parts.next();
         }
     }
     found
--- a/agatetrestle_config/src/check/tests.rs
+++ b/agatetrestle_config/src/check/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of finding the line of a value.
+//! Tests of the lookup of a value's line.
 
 use super::*;
 
@@ -17,7 +17,7 @@
 ";
 
 #[test]
-fn the_line_of_a_dotted_path_is_found() {
+fn finds_line_of_dotted_path() {
     let lines = [
         ("format", 2),
         ("classes.dawn.budget", 7),
--- a/agatetrestle_config/src/declarations/mod.rs
+++ b/agatetrestle_config/src/declarations/mod.rs
@@ -1,7 +1,7 @@
-//! Declarations: what the partners run, what they may use, and with which priority.
+//! Declarations of the partners' teams, program classes, services, models and backend servers.
 //!
-//! Each partner owns one document, and one document named `shared` holds what both use. A document
-//! has a version of its own, so that partners never race each other; see
+//! Each partner owns one document, and a document named `shared` holds what several partners use. Documents are versioned
+//! separately, so that changes of different partners never conflict; see
 //! docs/design/003-configuration-versions-and-lease.md.
 
 mod check;
@@ -23,22 +23,22 @@
 use crate::units::SizeText;
 
 /// Version of the document format that this build reads.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
-/// Name of the document for what all partners share.
+/// Name of the document that holds what all partners share.
 pub const SHARED_SCOPE: &str = "shared";
 
-/// One document, either a partner's or the shared one.
+/// One document, a partner's or the shared one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Declarations {
-    /// Version of the document format, always [`FORMAT`].
+    /// Version of the document format, always [`FORMAT_VERSION`].
     pub format: u32,
-    /// Share of the pool relative to other partners; only the shared document may set it.
+    /// Share of each partner in the capacity, relative to the others; only in the shared document.
     pub shares: BTreeMap<Arc<str>, u32>,
-    /// Teams by name.
+    /// Teams by name; only in a partner's document.
     pub teams: BTreeMap<Arc<str>, Team>,
-    /// Kinds of program by name.
+    /// Classes of programs by name; only in a partner's document.
     pub classes: BTreeMap<Arc<str>, Class>,
     /// Tool services and plain services by name.
     pub services: BTreeMap<Arc<str>, Service>,
@@ -46,7 +46,7 @@
     pub models: BTreeMap<Arc<str>, Model>,
     /// Backend servers by name.
     pub backend_servers: BTreeMap<Arc<str>, BackendServer>,
-    /// The weight store from which engines load models.
+    /// The weight store from which engines load models; only in the shared document.
     pub weight_store: Option<WeightStore>,
 }
 
@@ -54,31 +54,31 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Weight among the teams of the partner.
+    /// Scheduling weight among the teams of the partner.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Most programs of the team that may be live at once.
+    /// Maximum number of programs of the team that may be live at once.
     #[serde(default = "unbounded")]
     pub live_programs: u32,
 }
 
-/// A kind of program with its priority and bounds.
+/// A class of programs with its priority and limits.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Higher goes first.
+    /// Priority; higher values are scheduled first.
     pub priority: u8,
-    /// Largest budget of one program, in tokens.
+    /// Maximum budget of one program, in tokens.
     pub budget: u64,
-    /// Most calls of one program.
+    /// Maximum number of calls of one program.
     #[serde(default = "default_turns")]
     pub turns: u32,
-    /// Time from first call to final answer that operators wish for.
+    /// Target time from the first call to the final answer.
     #[serde_as(as = "Option<DurationText>")]
     #[serde(default)]
     pub deadline: Option<Duration>,
-    /// Time without a call after which cache of the program is released.
+    /// Time without a call after which the cache of the program is released.
     #[serde_as(as = "DurationText")]
     #[serde(default = "default_keepalive")]
     pub keepalive: Duration,
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Whether calls may be repeated; a caller may ask for the stricter rule, never for the looser.
+    /// Whether calls may be retried; a caller may forbid retries of its call, but not allow them.
     #[serde(default)]
     pub repeatable: bool,
     /// Time within which a call must make progress.
@@ -103,12 +103,12 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Size of the weights, for pacing loads.
+    /// Size of the weights in bytes, used to pace loads.
     #[serde_as(as = "SizeText")]
     pub weights: u64,
 }
 
-/// What a backend server is.
+/// Kind of a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendKind {
@@ -124,34 +124,34 @@
 pub struct BackendServer {
     /// Engine or service replica.
     pub kind: BackendKind,
-    /// IP number and port.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// The model or service it serves.
+    /// Name of the model or service that it serves.
     pub serves: Arc<str>,
-    /// Name of the VM it runs on, as the platform's list gives it.
+    /// Name of its VM in the platform's list.
     pub vm: Arc<str>,
-    /// Failure domain it runs in.
+    /// Failure domain of its VM.
     pub failure_domain: Arc<str>,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether a service replica reports its load; engines always do.
+    /// Whether a service replica reports its load; engines always report theirs.
     #[serde(default)]
     pub reports_load: bool,
-    /// Prefix cache of an engine, in tokens.
+    /// Size of the prefix cache of an engine, in tokens.
     #[serde(default)]
     pub cache_tokens: u64,
-    /// Requests it takes at once.
+    /// Number of requests that it runs concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
 
-/// The weight store's limit.
+/// Limit of the weight store.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightStore {
-    /// Bytes a second that all loads together may take.
+    /// Maximum total rate of all loads, in bytes per second.
     #[serde_as(as = "SizeText")]
     pub rate: u64,
 }
@@ -181,18 +181,17 @@
 }
 
 impl Declarations {
-    /// Reads and checks one document that is to be applied; `scope` is the partner's name or
-    /// [`SHARED_SCOPE`].
+    /// Parses and validates a document that is to be applied; `scope` is the partner's name or [`SHARED_SCOPE`].
     ///
     /// # Errors
     ///
-    /// Fails on an unknown key, a wrong value or another document format.
+    /// Fails on an unknown key, an invalid value or another version of the document format.
     pub fn parse(scope: &str, text: &str) -> Result<Self, ConfigError> {
         Self::parse_with_shared(scope, text, None)
     }
 
-    /// As [`Declarations::parse`], and also refuses a backend server that serves what neither this nor the
-    /// shared document declares.
+    /// Does the same as [`Declarations::parse`] and also rejects a backend server whose model or service neither this
+    /// nor the shared document declares.
     ///
     /// # Errors
     ///
@@ -203,12 +202,12 @@
         Ok(document)
     }
 
-    /// Reads a document that was accepted before. Values are taken as they are: a check that was added
-    /// since must not put an accepted document out of force.
+    /// Parses a document that was accepted earlier, without validation: a check that a newer version adds must not
+    /// invalidate a stored document.
     ///
     /// # Errors
     ///
-    /// Fails only where the text has not the shape of a document.
+    /// Fails if the text doesn't match the schema of a document.
     pub fn parse_unchecked(scope: &str, text: &str) -> Result<Self, ConfigError> {
         serde_norway::from_str(text).context(ParseSnafu { origin: scope })
     }
--- a/agatetrestle_config/src/declarations/tests.rs
+++ b/agatetrestle_config/src/declarations/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of the checks of declarations.
+//! Tests of the validation of declarations.
 
 use std::fmt::Write;
 
 use super::*;
 
-const SERVER: &str = "address: '10.0.0.1:1', vm: v, failure_domain: d";
+const SERVER_FIELDS: &str = "address: '10.0.0.1:1', vm: v, failure_domain: d";
 
-fn refusals(scope: &str, documents: &[&str]) -> String {
+fn errors(scope: &str, documents: &[&str]) -> String {
     let mut text = String::new();
     for document in documents {
-        let document = format!("format: 1\n{document}").replace("SERVER", SERVER);
+        let document = format!("format: 1\n{document}").replace("SERVER", SERVER_FIELDS);
         let error = Declarations::parse(scope, &document).unwrap_err();
         writeln!(text, "{error}").unwrap();
     }
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn a_wrong_value_is_refused_with_line_key_and_expectation() {
-    insta::assert_snapshot!(refusals(
+fn names_line_and_key_of_invalid_declaration() {
+    insta::assert_snapshot!(errors(
         "vrsta",
         &[
             "shares: { vrsta: 1 }",
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn the_shared_document_declares_what_its_backend_servers_serve() {
-    insta::assert_snapshot!(refusals(
+fn requires_shared_document_to_declare_what_its_servers_serve() {
+    insta::assert_snapshot!(errors(
         "shared",
         &[
             "teams: { dawn: {} }",
@@ -57,19 +57,22 @@
 }
 
 #[test]
-fn a_partner_may_serve_what_the_shared_document_declares() {
+fn accepts_server_of_model_in_shared_document() {
     let shared = Declarations::parse("shared", "format: 1\nmodels: { m: { weights: 1B } }").unwrap();
     let text = |model: &str| {
-        format!("format: 1\nbackend_servers:\n  a: {{ kind: engine, serves: {model}, {SERVER} }}")
+        format!("format: 1\nbackend_servers:\n  a: {{ kind: engine, serves: {model}, {SERVER_FIELDS} }}")
     };
     assert!(Declarations::parse_with_shared("vrsta", &text("m"), Some(&shared)).is_ok());
     assert!(Declarations::parse_with_shared("vrsta", &text("n"), Some(&shared)).is_err());
-    assert!(Declarations::parse("vrsta", &text("n")).is_ok(), "the shared document is not known here");
+    assert!(
+        Declarations::parse("vrsta", &text("n")).is_ok(),
+        "without the shared document this can't be checked"
+    );
 }
 
 #[test]
-fn an_accepted_document_is_read_whatever_was_checked_since() {
-    let accepted = "format: 1\nclasses: { x: { priority: 1, budget: 0 } }";
-    assert!(Declarations::parse("vrsta", accepted).is_err());
-    assert_eq!(Declarations::parse_unchecked("vrsta", accepted).unwrap().classes.len(), 1);
+fn parses_stored_document_without_validation() {
+    let stored = "format: 1\nclasses: { x: { priority: 1, budget: 0 } }";
+    assert!(Declarations::parse("vrsta", stored).is_err());
+    assert_eq!(Declarations::parse_unchecked("vrsta", stored).unwrap().classes.len(), 1);
 }
--- a/agatetrestle_config/src/deployment.rs
+++ b/agatetrestle_config/src/deployment.rs
@@ -1,7 +1,7 @@
-//! Settings of one process of a deployment whose members find each other through a few seeds.
+//! Settings of one process of a deployment whose members discover each other through seed addresses.
 //!
-//! Unlike [`crate::settings::Settings`] nothing here names the other members: a process is told where control
-//! listens and learns the rest; see docs/design/012-a-deployment-of-three-roles.md.
+//! Unlike [`crate::settings::Settings`] they don't list the other members: a process gets the addresses of control and
+//! learns the rest from there; see docs/design/012-a-deployment-of-three-roles.md.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -21,79 +21,79 @@
 use crate::error::ReadSnafu;
 use crate::units::DurationText;
 
-/// What a process does in a deployment.
+/// Role of a process in a deployment.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes requests of callers and passes them on; keeps nothing on disk.
+    /// Accepts requests of callers and forwards them; stores nothing on disk.
     Entry,
-    /// Holds the declarations in force and the list of members.
+    /// Replicates the active declarations and the list of members.
     Control,
-    /// Holds the turns and budgets of programs.
+    /// Replicates the turns and budgets of programs.
     Store,
 }
 
-/// Everything one process is told at start, and again whenever the file changes.
+/// Settings file of one process, read at start and again on reload.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deployment {
-    /// Who this process is and where it runs.
+    /// Identity and location of this process.
     pub process: Process,
-    /// The addresses that others than our own processes reach.
+    /// Addresses for clients from outside the deployment.
     #[serde(default)]
     pub listen: Listen,
-    /// Control addresses as operators see them; only their IP numbers are used, with [`Process::peer_port`].
+    /// Operator addresses of control; only their IP addresses are used, with [`Process::peer_port`].
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole deployment starts for the first time.
     pub founding: bool,
-    /// Folder of the durable state, where there is a disk.
+    /// Folder of the durable state; required for control and store.
     #[serde(default)]
     pub data_folder: Option<PathBuf>,
-    /// What may be lost at once while every promise is kept.
+    /// Failures that the deployment tolerates at once.
     pub tolerance: Tolerance,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
     /// Time bounds.
     pub bounds: Bounds,
     /// The platform's list of backend servers.
     pub backend_list: BackendList,
-    /// How an entry orders, places and turns away.
+    /// Scheduling policy of an entry.
     #[serde(default)]
     pub decisions: Decisions,
 }
 
-/// The decisions of an entry: its own, or a simple baseline that they are measured against.
+/// Scheduling policy of an entry: the default or, for comparisons, one with a decision replaced by a baseline.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Decisions {
-    /// What the entry is built for.
+    /// The default policy.
     #[default]
     Own,
-    /// As [`Decisions::Own`], but requests wait in the order in which they came.
+    /// Like [`Decisions::Own`], but requests are queued in order of arrival.
     FirstCome,
-    /// As [`Decisions::Own`], but servers with a free place get requests in turn.
+    /// Like [`Decisions::Own`], but requests go round-robin to the servers with a free slot.
     RoundRobin,
-    /// As [`Decisions::Own`], but the least loaded server gets each request, whatever it has cached.
+    /// Like [`Decisions::Own`], but each request goes to the least loaded server, regardless of its prefix cache.
     LeastLoad,
-    /// As [`Decisions::Own`], but a server is sent no more requests than it has places.
+    /// Like [`Decisions::Own`], but a server never gets more requests than it has slots.
     Places,
-    /// As [`Decisions::Own`], but a server that says nothing is waited for until the caller's time is up.
+    /// Like [`Decisions::Own`], but an unresponsive server is waited for until the caller's deadline.
     Patient,
-    /// As [`Decisions::Own`], but nothing is turned away before its deadline.
+    /// Like [`Decisions::Own`], but no request is rejected before its deadline.
     NoRejection,
 }
 
-/// Identity and place of the process.
+/// Identity and location of the process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Process {
     /// Name of the VM.
     pub vm: Arc<str>,
-    /// What the process does.
+    /// Role of the process.
     pub role: Role,
-    /// IP number of the VM.
+    /// IP address of the VM.
     pub ip: Ipv4Addr,
-    /// Port for calls between our own processes; the same on every VM.
+    /// Port for calls between processes of the deployment; the same on every VM.
     pub peer_port: u16,
     /// Failure domain of the VM.
     pub failure_domain: Arc<str>,
@@ -101,37 +101,37 @@
     pub region: Arc<str>,
 }
 
-/// Listening addresses; a process binds those that belong to its role.
+/// Listening addresses; a process binds those of its role.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Listen {
     /// HTTP for callers, on an entry.
     pub callers: Option<SocketAddrV4>,
-    /// HTTP for questions whether an entry takes requests.
+    /// HTTP for readiness probes, on an entry.
     pub readiness: Option<SocketAddrV4>,
     /// HTTP for operators, on control.
     pub operators: Option<SocketAddrV4>,
-    /// HTTP for callers that ask which address to use, on control.
+    /// HTTP for callers that look up the address of an entry, on control.
     pub directory: Option<SocketAddrV4>,
-    /// Port of the scrape of metrics, on the process's own IP.
+    /// Port of the metrics endpoint, on the IP address of the process.
     pub metrics_port: Option<u16>,
 }
 
-/// What may be lost at once.
+/// Failures that are tolerated at once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tolerance {
-    /// VMs with a disk.
+    /// Number of VMs with a disk that may be lost.
     pub vms: usize,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
     /// Memory in MB; beyond it the platform kills the process.
     pub memory_mb: u64,
-    /// File descriptors, sockets included.
+    /// Maximum number of file descriptors, sockets included.
     pub descriptors: u64,
 }
 
@@ -140,28 +140,28 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Time from a planned stop's signal until the process is killed.
+    /// Time between the stop signal and the kill at a planned stop.
     #[serde_as(as = "DurationText")]
     pub stop_grace: Duration,
-    /// Longest time for which a caller may keep an address answer.
+    /// Maximum time for which callers may cache an address.
     #[serde_as(as = "DurationText")]
     pub address_max_age: Duration,
-    /// What a team's requests are held to.
+    /// Tolerance of the rate limits of teams.
     #[serde(default)]
     pub allowance: AllowanceBounds,
 }
 
-/// In each window a team has at most what its rate and burst allow and a little beyond.
+/// How far the requests of a team may exceed its rate and burst within any window.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AllowanceBounds {
-    /// Length of the window, which may begin at any moment.
+    /// Length of the sliding window.
     #[serde_as(as = "DurationText")]
     pub window: Duration,
-    /// What may be beyond the allowance, as a part of it.
+    /// Permitted excess as a fraction of the allowance.
     pub overrun: f64,
-    /// Requests that may be beyond that.
+    /// Number of requests that are permitted in addition.
     pub slack: u32,
 }
 
@@ -175,24 +175,24 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendList {
-    /// Where it is.
+    /// Address of the list.
     pub address: SocketAddrV4,
-    /// Calls a second that it takes from all processes together.
+    /// Rate limit for calls of all processes together.
     pub calls_per_second: f64,
 }
 
 impl Deployment {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read, has an unknown key, or holds a value that can't be used.
+    /// Fails if the file can't be read, has an unknown key, or holds an invalid value.
     pub fn load(file: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
         Self::parse(&file.display().to_string(), &text)
     }
 
-    /// Reads and checks settings from text; `origin` names it in errors.
+    /// Parses and validates settings; `origin` names the text in errors.
     ///
     /// # Errors
     ///
@@ -204,12 +204,16 @@
     }
 
     fn check(&self, checker: Checker<'_>) -> Result<(), ConfigError> {
-        checker.named(&self.process.vm, "process.vm")?;
-        checker.named(&self.process.failure_domain, "process.failure_domain")?;
+        checker.valid_name(&self.process.vm, "process.vm")?;
+        checker.valid_name(&self.process.failure_domain, "process.failure_domain")?;
         checker.positive(self.process.peer_port.into(), "process.peer_port")?;
         checker.require(!self.seeds.is_empty(), "seeds", "at least one address")?;
-        let durable = self.process.role != Role::Entry;
-        checker.require(!durable || self.data_folder.is_some(), "data_folder", "a folder, for this role")?;
+        let is_stateful = self.process.role != Role::Entry;
+        checker.require(
+            !is_stateful || self.data_folder.is_some(),
+            "data_folder",
+            "a folder, for this role",
+        )?;
         let listen = &self.listen;
         match self.process.role {
             Role::Entry => {
@@ -224,11 +228,15 @@
         }
         checker.positive(self.limits.memory_mb, "limits.memory_mb")?;
         checker.positive(self.limits.descriptors, "limits.descriptors")?;
-        checker.lasting(self.bounds.stop_grace, "bounds.stop_grace")?;
-        checker.lasting(self.bounds.address_max_age, "bounds.address_max_age")?;
-        checker.lasting(self.bounds.allowance.window, "bounds.allowance.window")?;
+        checker.positive_duration(self.bounds.stop_grace, "bounds.stop_grace")?;
+        checker.positive_duration(self.bounds.address_max_age, "bounds.address_max_age")?;
+        checker.positive_duration(self.bounds.allowance.window, "bounds.allowance.window")?;
         let overrun = self.bounds.allowance.overrun;
-        checker.require((0.0..=1.0).contains(&overrun), "bounds.allowance.overrun", "a part from 0 to 1")?;
+        checker.require(
+            (0.0..=1.0).contains(&overrun),
+            "bounds.allowance.overrun",
+            "a fraction from 0 to 1",
+        )?;
         checker.require(
             self.backend_list.calls_per_second > 0.0,
             "backend_list.calls_per_second",
--- a/agatetrestle_config/src/deployment/tests.rs
+++ b/agatetrestle_config/src/deployment/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the settings of a deployment's processes.
+//! Tests of parsing and validating the settings of a deployment's process.
 
 use super::*;
 
@@ -29,12 +29,12 @@
   calls_per_second: 44.0
 ";
 
-fn refusal(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     Deployment::parse("process.yaml", text).unwrap_err().to_string()
 }
 
 #[test]
-fn an_entry_is_read_with_its_units() {
+fn parses_settings_of_entry() {
     let settings = Deployment::parse("process.yaml", ENTRY).unwrap();
     assert_eq!(settings.process.role, Role::Entry);
     assert_eq!(settings.bounds.stop_grace, Duration::from_millis(8_500));
@@ -42,39 +42,46 @@
 }
 
 #[test]
-fn a_role_lacks_nothing_that_it_needs() {
+fn requires_the_settings_of_each_role() {
     let control = ENTRY.replace("role: entry", "role: control");
-    assert_eq!(refusal(&control), "process.yaml:1: data_folder: expected a folder, for this role");
-    let mute = ENTRY.replace("  callers: 10.1.0.30:8149\n", "");
-    assert_eq!(refusal(&mute), "process.yaml:9: listen.callers: expected an address, on an entry");
+    assert_eq!(parse_error(&control), "process.yaml:1: data_folder: expected a folder, for this role");
+    let without_callers = ENTRY.replace("  callers: 10.1.0.30:8149\n", "");
+    assert_eq!(
+        parse_error(&without_callers),
+        "process.yaml:9: listen.callers: expected an address, on an entry"
+    );
 }
 
 #[test]
-fn an_unknown_key_and_a_bare_number_are_named_with_their_line() {
+fn rejects_unknown_key_and_missing_unit() {
     let unknown = ENTRY.replace("  vms: 1", "  vms: 1\n  racks: 1");
-    assert!(refusal(&unknown).contains("unknown field `racks`"), "{}", refusal(&unknown));
-    let bare = ENTRY.replace("8.5s", "8");
-    assert!(refusal(&bare).contains("line 21"), "{}", refusal(&bare));
+    assert!(parse_error(&unknown).contains("unknown field `racks`"), "{}", parse_error(&unknown));
+    let missing_unit = ENTRY.replace("8.5s", "8");
+    assert!(parse_error(&missing_unit).contains("line 21"), "{}", parse_error(&missing_unit));
 }
 
 #[test]
-fn an_allowance_has_bounds_of_its_own_and_is_strict_without_them() {
-    let bounded = |more: &str| {
-        let text = format!("  address_max_age: 5s\n  allowance: {{ {more} }}");
+fn allowance_bounds_default_to_no_excess() {
+    let with_allowance = |fields: &str| {
+        let text = format!("  address_max_age: 5s\n  allowance: {{ {fields} }}");
         ENTRY.replace("  address_max_age: 5s", &text)
     };
-    let read = |text: &str| Deployment::parse("process.yaml", text).unwrap().bounds.allowance;
+    let parse = |text: &str| Deployment::parse("process.yaml", text).unwrap().bounds.allowance;
     let window = Duration::from_secs(5);
-    assert_eq!(read(ENTRY), AllowanceBounds { window, overrun: 0.0, slack: 0 });
-    let told = read(&bounded("window: 2.5s, overrun: 0.1, slack: 20"));
-    assert_eq!(told, AllowanceBounds { window: window / 2, overrun: 0.1, slack: 20 });
-    for (bad, told) in [
+    assert_eq!(parse(ENTRY), AllowanceBounds { window, overrun: 0.0, slack: 0 });
+    let configured = parse(&with_allowance("window: 2.5s, overrun: 0.1, slack: 20"));
+    assert_eq!(configured, AllowanceBounds { window: window / 2, overrun: 0.1, slack: 20 });
+    for (invalid, message) in [
         ("window: 0s", "bounds.allowance.window: expected"),
-        ("overrun: 1.1", "bounds.allowance.overrun: expected a part from 0 to 1"),
-        ("overrun: -0.1", "bounds.allowance.overrun: expected a part from 0 to 1"),
+        ("overrun: 1.1", "bounds.allowance.overrun: expected a fraction from 0 to 1"),
+        ("overrun: -0.1", "bounds.allowance.overrun: expected a fraction from 0 to 1"),
         ("slack: -1", "expected u32"),
         ("slak: 1", "unknown field `slak`"),
     ] {
-        assert!(refusal(&bounded(bad)).contains(told), "{bad}: {}", refusal(&bounded(bad)));
+        assert!(
+            parse_error(&with_allowance(invalid)).contains(message),
+            "{invalid}: {}",
+            parse_error(&with_allowance(invalid))
+        );
     }
 }
--- a/agatetrestle_config/src/error.rs
+++ b/agatetrestle_config/src/error.rs
@@ -1,40 +1,40 @@
-//! Failures of reading settings or declarations.
+//! Errors of reading settings and declarations.
 
 use std::path::PathBuf;
 use std::sync::Arc;
 
 use snafu::Snafu;
 
-/// Why a settings file or a declaration document was refused.
+/// Error for a rejected settings file or declaration document.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ConfigError {
-    /// The file could not be read at all.
+    /// The file can't be read.
     #[snafu(display("{}: can't be read: {source}", file.display()))]
     Read {
-        /// The file that was asked for.
+        /// Path of the file.
         file: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The text is no YAML of the expected shape; the message names line, key and expectation.
+    /// The text is not valid YAML or doesn't match the schema; the message names line, key and expected type.
     #[snafu(display("{origin}: {source}"))]
     Parse {
         /// Name of the file or document.
         origin: Arc<str>,
-        /// What the parser expected and where.
+        /// Error of the parser, with the position in the text.
         source: serde_norway::Error,
     },
-    /// The shape is right but a value can't be used.
+    /// The text matches the schema but a value is invalid.
     #[snafu(display("{origin}:{line}: {key}: expected {expected}"))]
     Invalid {
         /// Name of the file or document.
         origin: Arc<str>,
-        /// Line of the value, counting from 1.
+        /// Line of the value, starting at 1.
         line: usize,
-        /// Dotted path of the offending key.
+        /// Dotted path of the key.
         key: Arc<str>,
-        /// What would have been accepted.
+        /// Description of accepted values.
         expected: Arc<str>,
     },
 }
--- a/agatetrestle_config/src/lib.rs
+++ b/agatetrestle_config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of one process and declarations of the partners, both in checked YAML.
+//! Settings of one process and declarations of the partners, parsed from YAML and validated.
 //!
-//! Settings stay on a VM and are read once at start. Declarations are kept in version control,
-//! applied by operators and agreed on by the control group; see docs/operators/declarations.md.
+//! Settings are local to a VM. Declarations are kept in version control, applied by operators and replicated by the
+//! control group; see docs/operators/declarations.md.
 
 mod check;
 pub mod declarations;
--- a/agatetrestle_config/src/settings/mod.rs
+++ b/agatetrestle_config/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one process: who it is, where it listens and what it may use.
+//! Settings of one process: its identity, listening addresses, peers and limits.
 
 mod check;
 
@@ -20,35 +20,35 @@
 use crate::units::DurationText;
 use crate::units::SizeText;
 
-/// Everything one daemon is told at start; it takes no other source into account.
+/// Settings file of one daemon, its only source of configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Who this process is.
+    /// Identity of this process.
     pub node: Node,
     /// The addresses it listens on.
     pub listen: Listen,
-    /// The processes it may meet, itself included.
+    /// All known processes of the system, this one included.
     pub peers: Vec<PeerSeed>,
     /// Durable state, if this VM has a disk.
     pub storage: Storage,
     /// Time bounds of the replicated groups and heartbeats.
     pub timing: Timing,
-    /// Bounds on what callers may send.
+    /// Limits for requests of callers.
     pub callers: Callers,
     /// The platform's list of live and leaving VMs.
     pub platform: Platform,
-    /// Where logs go.
+    /// Destination and format of the logs.
     pub logging: Logging,
 }
 
-/// Identity and place of the process.
+/// Identity and location of the process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Node {
-    /// Number of the node, unique in the whole system and never 0.
+    /// Number of the node, unique in the whole system and above 0.
     pub id: u64,
-    /// Name of the VM as the platform's list gives it.
+    /// Name of the VM in the platform's list.
     pub vm: Arc<str>,
     /// Failure domain of the VM.
     pub failure_domain: Arc<str>,
@@ -62,17 +62,17 @@
     }
 }
 
-/// Listening addresses; port 0 lets the operating system choose.
+/// Listening addresses; the operating system chooses a port for 0.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Listen {
     /// HTTP for callers.
     pub callers: SocketAddr,
-    /// RPC between our own processes.
+    /// RPC between the processes of the system.
     pub peers: SocketAddr,
     /// RPC for operators.
     pub operators: SocketAddr,
-    /// HTTP for the metrics scrape.
+    /// HTTP for scrapes of metrics.
     pub metrics: SocketAddr,
 }
 
@@ -83,13 +83,13 @@
     }
 }
 
-/// One process of the system, as known before any heartbeat was heard.
+/// One process of the system, as configured before the first heartbeat.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSeed {
     /// Number of the node.
     pub id: u64,
-    /// Its address for RPC between our own processes.
+    /// Its address for RPC between processes.
     pub address: SocketAddr,
     /// Whether it holds a replica of the control group.
     #[serde(default)]
@@ -106,10 +106,10 @@
 pub struct Storage {
     /// Folder for the files of the replicas; without it the node holds no replica.
     pub data_folder: Option<PathBuf>,
-    /// A log segment is closed at this size.
+    /// Size at which a log segment is closed.
     #[serde_as(as = "SizeText")]
     pub segment: u64,
-    /// A snapshot is taken once the log has grown by this much.
+    /// Growth of the log after which a snapshot is taken.
     #[serde_as(as = "SizeText")]
     pub snapshot_after: u64,
 }
@@ -120,30 +120,30 @@
     }
 }
 
-/// Time bounds; the defaults suit failure domains 1.5 ms apart one way.
+/// Time bounds of the replicated groups and heartbeats.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Timing {
-    /// Interval between a leader's messages to its followers.
+    /// Interval between messages of a leader to its followers.
     #[serde_as(as = "DurationText")]
     pub leader_interval: Duration,
-    /// Shortest time without a leader before a replica stands for election.
+    /// Minimum time without a message of the leader before a replica starts an election.
     #[serde_as(as = "DurationText")]
     pub election_timeout: Duration,
-    /// How far two clocks may run apart over one election timeout.
+    /// Maximum drift between two clocks over one election timeout.
     #[serde_as(as = "DurationText")]
     pub clock_drift: Duration,
     /// Interval between heartbeats to the control replicas.
     #[serde_as(as = "DurationText")]
     pub heartbeat: Duration,
-    /// How long a node may rely on the configuration it last confirmed.
+    /// Time for which a node may use the configuration that it last confirmed.
     #[serde_as(as = "DurationText")]
     pub configuration_lease: Duration,
-    /// Deadline of one call to another of our own processes.
+    /// Timeout of a call to another process of the system.
     #[serde_as(as = "DurationText")]
     pub peer_call: Duration,
-    /// How long a planned stop waits for requests in flight.
+    /// Time for which a planned stop waits for requests in flight.
     #[serde_as(as = "DurationText")]
     pub stop_grace: Duration,
 }
@@ -162,26 +162,26 @@
     }
 }
 
-/// Bounds on what callers may send; docs/operators/settings.md tells how each is enforced.
+/// Limits for requests of callers; docs/operators/settings.md describes how each is enforced.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Callers {
-    /// Largest request head.
+    /// Maximum size of a request head.
     #[serde_as(as = "SizeText")]
     pub head: u64,
-    /// Largest request body.
+    /// Maximum size of a request body.
     #[serde_as(as = "SizeText")]
     pub body: u64,
-    /// Time for the whole head to arrive.
+    /// Time within which the whole head must arrive.
     #[serde_as(as = "DurationText")]
     pub head_time: Duration,
-    /// Time without progress on a body or on an idle connection.
+    /// Maximum time without progress on a body or an idle connection.
     #[serde_as(as = "DurationText")]
     pub idle: Duration,
-    /// Connections open at once.
+    /// Maximum number of open connections.
     pub connections: u32,
-    /// How long a caller may keep an address answer.
+    /// Time for which callers may cache an address.
     #[serde_as(as = "DurationText")]
     pub address_max_age: Duration,
 }
@@ -199,12 +199,12 @@
     }
 }
 
-/// The platform's VM list, an HTTP resource that lags.
+/// The platform's list of VMs, an HTTP resource whose content may be outdated.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Platform {
-    /// Address of the list, or none where the platform has no list.
+    /// Address of the list, if the platform has one.
     pub vm_list: Option<SocketAddr>,
     /// Interval between reads of the list.
     #[serde_as(as = "DurationText")]
@@ -217,19 +217,19 @@
     }
 }
 
-/// Destination and form of the logs.
+/// Destination and format of the logs.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Logging {
-    /// Specification of levels as `flexi_logger` reads it, such as `info, agatetrestle::agreement=debug`.
+    /// Log levels in the syntax of `flexi_logger`, such as `info, agatetrestle::agreement=debug`.
     pub level: Arc<str>,
     /// Folder of the log files; without it logs go to the standard error stream.
     pub folder: Option<PathBuf>,
-    /// A log file is rotated at this size.
+    /// Size at which a log file is rotated.
     #[serde_as(as = "SizeText")]
     pub rotate: u64,
-    /// How many rotated files are kept.
+    /// Number of rotated files that are kept.
     pub keep: usize,
     /// Whether each line is a JSON object.
     pub json: bool,
@@ -242,17 +242,17 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read, has an unknown key, or holds a value that can't be used.
+    /// Fails if the file can't be read, has an unknown key, or holds an invalid value.
     pub fn load(file: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(file).context(ReadSnafu { file })?;
         Self::parse(&file.display().to_string(), &text)
     }
 
-    /// Reads and checks settings from text; `origin` names it in errors.
+    /// Parses and validates settings; `origin` names the text in errors.
     ///
     /// # Errors
     ///
--- a/agatetrestle_config/src/settings/tests.rs
+++ b/agatetrestle_config/src/settings/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the checks of settings.
+//! Tests of the validation of settings.
 
 use std::fmt::Write;
 
 use super::*;
 
-const WRONG: [&str; 20] = [
+const INVALID_SETTINGS: [&str; 20] = [
     "node:\n  id: 0",
     "node:\n  vm: ''",
     "node:\n  failure_domain: a b",
@@ -28,16 +28,16 @@
 ];
 
 #[test]
-fn a_wrong_value_is_refused_with_file_line_key_and_expectation() {
+fn names_line_and_key_of_invalid_setting() {
     let mut text = String::new();
-    for wrong in WRONG {
-        writeln!(text, "{}", Settings::parse("node.yaml", wrong).unwrap_err()).unwrap();
+    for invalid in INVALID_SETTINGS {
+        writeln!(text, "{}", Settings::parse("node.yaml", invalid).unwrap_err()).unwrap();
     }
     insta::assert_snapshot!(text);
 }
 
 #[test]
-fn port_0_may_stand_more_than_once() {
+fn accepts_port_0_for_several_listeners() {
     let text = "listen:\n  callers: 127.0.0.1:0\n  peers: 127.0.0.1:0";
     assert!(Settings::parse("node.yaml", text).is_ok());
 }
--- a/agatetrestle_config/tests/pages.rs
+++ b/agatetrestle_config/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' pages name every key with its default, and their examples are valid.
+//! Checks that the operators' pages list every key with its default and that their examples are valid.
 
 use agatetrestle_config::Declarations;
 use agatetrestle_config::Settings;
@@ -8,8 +8,8 @@
 const SETTINGS: &str = include_str!("../../docs/operators/settings.md");
 const DECLARATIONS: &str = include_str!("../../docs/operators/declarations.md");
 
-/// A document in which every list and map has one entry with only what is required.
-const SMALLEST: &str = "
+/// A document in which every map has one entry with only its required keys.
+const MINIMAL_DOCUMENT: &str = "
 format: 1
 teams: {x: {}}
 classes: {x: {priority: 1, budget: 1}}
@@ -19,11 +19,11 @@
 weight_store: {rate: 1B}
 ";
 
-/// Settings with one peer, since an empty list would show no keys.
+/// Settings with one peer; an empty list has no keys to check.
 const ONE_PEER: &str = "peers: [{id: 2, address: '10.0.0.1:7401'}]";
 
-/// Values that have no default and so stand in the page as `none`.
-const REQUIRED: [&str; 12] = [
+/// Keys without a default, for which the page says `none`.
+const REQUIRED_KEYS: [&str; 12] = [
     "format",
     "peers.id",
     "peers.address",
@@ -38,11 +38,11 @@
     "weight_store.rate",
 ];
 
-fn value<T: Serialize>(document: &T) -> Value {
+fn to_value<T: Serialize>(document: &T) -> Value {
     serde_norway::to_value(document).unwrap()
 }
 
-/// Dotted keys with their values; the entries of a list, and of a map of names, stand for all.
+/// Dotted keys with their values; lists and maps by name contribute the keys of one entry, without its index or name.
 fn keys(prefix: &str, value: &Value) -> Vec<(String, String)> {
     match value {
         Value::Mapping(map) if !map.is_empty() => {
@@ -63,43 +63,43 @@
     }
 }
 
-fn assert_named(page: &str, keys: &[(String, String)]) {
+fn assert_listed(page: &str, keys: &[(String, String)]) {
     assert!(!keys.is_empty());
     for (key, default) in keys {
         let row = page.lines().find(|line| line.starts_with(&format!("| `{key}` |")));
-        let row = row.unwrap_or_else(|| panic!("the page has no row for {key}"));
-        let told = row.split(" | ").nth(1).unwrap();
+        let row = row.unwrap_or_else(|| panic!("the page lists no key {key}"));
+        let listed = row.split(" | ").nth(1).unwrap();
         let expected =
-            if REQUIRED.contains(&key.as_str()) { "none".to_owned() } else { format!("`{default}`") };
-        assert_eq!(told, expected, "{key}");
+            if REQUIRED_KEYS.contains(&key.as_str()) { "none".to_owned() } else { format!("`{default}`") };
+        assert_eq!(listed, expected, "{key}");
     }
 }
 
 #[test]
-fn the_page_names_every_setting_with_its_default() {
+fn page_lists_every_setting_with_default() {
     let settings = Settings::parse("page", ONE_PEER).unwrap();
-    assert_named(SETTINGS, &keys("", &value(&settings)));
+    assert_listed(SETTINGS, &keys("", &to_value(&settings)));
 }
 
 #[test]
-fn the_page_names_every_field_of_a_declaration_with_its_default() {
-    let document = Declarations::parse_unchecked("shared", SMALLEST).unwrap();
-    assert_named(DECLARATIONS, &keys("", &value(&document)));
+fn page_lists_every_declaration_key_with_default() {
+    let document = Declarations::parse_unchecked("shared", MINIMAL_DOCUMENT).unwrap();
+    assert_listed(DECLARATIONS, &keys("", &to_value(&document)));
     let empty = Declarations::parse("shared", "format: 1").unwrap();
-    assert_named(DECLARATIONS, &keys("", &value(&empty)));
+    assert_listed(DECLARATIONS, &keys("", &to_value(&empty)));
 }
 
 #[test]
-fn the_page_names_no_key_that_does_not_exist() {
+fn page_lists_no_unknown_key() {
     let settings = Settings::parse("page", ONE_PEER).unwrap();
-    let known = keys("", &value(&settings));
-    let named = SETTINGS.lines().filter_map(|line| line.strip_prefix("| `")?.split('`').next());
-    let unknown: Vec<&str> = named.filter(|key| !known.iter().any(|(name, _)| name == key)).collect();
+    let known = keys("", &to_value(&settings));
+    let listed = SETTINGS.lines().filter_map(|line| line.strip_prefix("| `")?.split('`').next());
+    let unknown: Vec<&str> = listed.filter(|key| !known.iter().any(|(name, _)| name == key)).collect();
     assert!(unknown.is_empty(), "{unknown:?}");
 }
 
 #[test]
-fn the_examples_on_the_page_are_valid() {
+fn page_examples_are_valid() {
     let blocks: Vec<&str> = DECLARATIONS.split("```yaml\n").skip(1).collect();
     assert_eq!(blocks.len(), 2);
     for (scope, block) in ["shared", "vrsta"].iter().zip(blocks) {
