--- a/agatetrestle_cli/examples/tool_manual.rs
+++ b/agatetrestle_cli/examples/tool_manual.rs
@@ -1,4 +1,4 @@
-//! Prints the manual page of the tool, made from its command line.
+//! Prints the manual page of the tool, generated from its command-line parser.
 
 use agatetrestle_cli::options::Options;
 use bpaf::doc::Section;
--- a/agatetrestle_cli/src/apply/tests.rs
+++ b/agatetrestle_cli/src/apply/tests.rs
@@ -1,6 +1,6 @@
-//! Tests of when a change counts as in force everywhere.
+//! Tests of the check that a change is in force on all nodes.
 
-use crate::apply::is_everywhere;
+use crate::apply::is_in_force;
 use crate::rows::NodeRow;
 use crate::rows::Status;
 
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn a_node_that_knows_nobody_yet_can_not_tell_that_a_change_is_in_force() {
-    assert!(!is_everywhere(&status(Vec::new()), 2));
-    assert!(!is_everywhere(&status(vec![node(2, "live", 2)]), 2));
-    assert!(is_everywhere(&status(vec![node(1, "live", 2), node(2, "leaving", 0)]), 2));
-    assert!(!is_everywhere(&status(vec![node(1, "live", 2), node(2, "silent", 1)]), 2));
+fn requires_answering_node_in_its_own_list() {
+    assert!(!is_in_force(&status(Vec::new()), 2));
+    assert!(!is_in_force(&status(vec![node(2, "live", 2)]), 2));
+    assert!(is_in_force(&status(vec![node(1, "live", 2), node(2, "leaving", 0)]), 2));
+    assert!(!is_in_force(&status(vec![node(1, "live", 2), node(2, "silent", 1)]), 2));
 }
--- a/agatetrestle_cli/src/calls.rs
+++ b/agatetrestle_cli/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that only ask, as functions on typed rows; those that change something are in [`changes`].
+//! Read-only RPC calls that return typed rows; calls with side effects are in [`changes`].
 
 pub mod changes;
 
@@ -11,12 +11,12 @@
 
 use crate::client::Attempt;
 use crate::client::Client;
-use crate::client::Repeat;
+use crate::client::RetryPolicy;
 use crate::error::ToolError;
+use crate::rows::ActiveConfig;
 use crate::rows::BackendRow;
 use crate::rows::DocumentRow;
 use crate::rows::GroupRow;
-use crate::rows::InForce;
 use crate::rows::NodeRow;
 use crate::rows::Plan;
 use crate::rows::ProgramRow;
@@ -26,8 +26,8 @@
     Ok(reader.to_str()?.into())
 }
 
-/// Reads the failure of a call; with none the result stands.
-fn unless_failed<T>(failure: failure::Reader<'_>, result: T) -> Result<Attempt<T>, capnp::Error> {
+/// Converts the failure of a response, or returns `result` if there is none.
+fn attempt_result<T>(failure: failure::Reader<'_>, result: T) -> Result<Attempt<T>, capnp::Error> {
     Ok(match failure.which()? {
         failure::None(()) => Attempt::Done(result),
         failure::Invalid(reason) => Attempt::Invalid(text(reason?)?),
@@ -36,7 +36,7 @@
     })
 }
 
-fn node(row: node_status::Reader<'_>) -> Result<NodeRow, capnp::Error> {
+fn node_row(row: node_status::Reader<'_>) -> Result<NodeRow, capnp::Error> {
     Ok(NodeRow {
         node: row.get_node(),
         vm: text(row.get_vm()?)?,
@@ -48,7 +48,7 @@
     })
 }
 
-fn group(row: group_status::Reader<'_>) -> Result<GroupRow, capnp::Error> {
+fn group_row(row: group_status::Reader<'_>) -> Result<GroupRow, capnp::Error> {
     let leader = row.get_leader();
     Ok(GroupRow {
         group: row.get_group(),
@@ -59,16 +59,16 @@
     })
 }
 
-/// Asks what a change would do.
+/// Fetches the difference that a change would make.
 ///
 /// # Errors
 ///
 /// Fails as [`Client::call`] does.
-pub async fn plan(client: &Client, scope: &str, offered: &str) -> Result<Plan, ToolError> {
+pub async fn plan(client: &Client, scope: &str, document: &str) -> Result<Plan, ToolError> {
     let call = async |operator: operator::Client| {
         let mut req = operator.plan_request();
         req.get().set_scope(scope);
-        req.get().set_text(offered);
+        req.get().set_text(document);
         let response = req.send().promise.await?;
         let result = response.get()?;
         let invalid = text(result.get_invalid()?)?;
@@ -78,10 +78,10 @@
         let difference = text(result.get_difference()?)?;
         Ok(Attempt::Done(Plan { current_version: result.get_current_version(), difference }))
     };
-    client.call(Repeat::Read, call).await
+    client.call(RetryPolicy::Read, call).await
 }
 
-/// Asks how a node sees the whole.
+/// Fetches a node's view of the nodes and groups.
 ///
 /// # Errors
 ///
@@ -95,14 +95,14 @@
             revision: result.get_revision(),
             taking_work: result.get_taking_work(),
             reason: text(result.get_reason()?)?,
-            nodes: result.get_nodes()?.iter().map(node).collect::<Result<_, _>>()?,
-            groups: result.get_groups()?.iter().map(group).collect::<Result<_, _>>()?,
+            nodes: result.get_nodes()?.iter().map(node_row).collect::<Result<_, _>>()?,
+            groups: result.get_groups()?.iter().map(group_row).collect::<Result<_, _>>()?,
         }))
     };
-    client.call(Repeat::Read, call).await
+    client.call(RetryPolicy::Read, call).await
 }
 
-/// Lists programs of one partner, or of all where `partner` is empty.
+/// Lists the programs of one partner, or of all if `partner` is empty.
 ///
 /// # Errors
 ///
@@ -126,12 +126,12 @@
                 budget: row.get_budget(),
             });
         }
-        unless_failed(result.get_failure()?, rows)
+        attempt_result(result.get_failure()?, rows)
     };
-    client.call(Repeat::Read, call).await
+    client.call(RetryPolicy::Read, call).await
 }
 
-/// Lists the backend servers as one node sees them.
+/// Lists the backend servers in one node's view.
 ///
 /// # Errors
 ///
@@ -152,15 +152,15 @@
         }
         Ok(Attempt::Done(rows))
     };
-    client.call(Repeat::Read, call).await
+    client.call(RetryPolicy::Read, call).await
 }
 
-/// Everything in force on a node.
+/// Fetches the documents in force on a node.
 ///
 /// # Errors
 ///
 /// Fails as [`Client::call`] does.
-pub async fn config(client: &Client) -> Result<InForce, ToolError> {
+pub async fn config(client: &Client) -> Result<ActiveConfig, ToolError> {
     let call = async |operator: operator::Client| {
         let response = operator.config_request().send().promise.await?;
         let result = response.get()?;
@@ -172,12 +172,12 @@
                 text: text(row.get_text()?)?,
             });
         }
-        Ok(Attempt::Done(InForce { revision: result.get_revision(), documents }))
+        Ok(Attempt::Done(ActiveConfig { revision: result.get_revision(), documents }))
     };
-    client.call(Repeat::Read, call).await
+    client.call(RetryPolicy::Read, call).await
 }
 
-/// The newest trace lines of a node.
+/// Fetches the newest trace lines of a node.
 ///
 /// # Errors
 ///
@@ -193,5 +193,5 @@
         }
         Ok(Attempt::Done(lines))
     };
-    client.call(Repeat::Read, call).await
+    client.call(RetryPolicy::Read, call).await
 }
--- a/agatetrestle_cli/src/calls/changes.rs
+++ b/agatetrestle_cli/src/calls/changes.rs
@@ -1,61 +1,61 @@
-//! The calls that change something.
+//! RPC calls with side effects.
 
 use std::sync::Arc;
 
-use agatetrestle_schema::operator_capnp::ReplicaChange as Wanted;
+use agatetrestle_schema::operator_capnp::ReplicaChange as WireReplicaChange;
 use agatetrestle_schema::operator_capnp::apply_result;
 use agatetrestle_schema::operator_capnp::operator;
 
+use crate::calls::attempt_result;
 use crate::calls::text;
-use crate::calls::unless_failed;
 use crate::client::Attempt;
 use crate::client::Client;
-use crate::client::Repeat;
+use crate::client::RetryPolicy;
 use crate::error::ToolError;
 use crate::options::ReplicaChange;
 use crate::rows::DrainRow;
 use crate::rows::ReplicasRow;
 use crate::rows::ResolvedRow;
 
-/// A change as it is offered.
+/// A change of a document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Change {
-    /// The document.
+    /// Name of the document.
     pub scope: Arc<str>,
     /// The declarations in YAML.
     pub text: Arc<str>,
-    /// Version that the operator saw.
+    /// Version of the document that the change is based on.
     pub expected_version: u64,
-    /// Identity; a resend with it gives the first result.
+    /// Idempotency key; a retry with the same id returns the first result.
     pub change_id: Arc<str>,
 }
 
-/// What the control group made of a change that it took in.
+/// Decision of the control group on a change.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
-    /// It is in force.
+pub enum ApplyOutcome {
+    /// The change was committed.
     Accepted {
-        /// Version of the document.
+        /// New version of the document.
         version: u64,
-        /// Revision of the whole.
+        /// New revision of the configuration.
         revision: u64,
     },
-    /// Another came first.
+    /// The document has another version than expected.
     Conflict {
-        /// Version in force.
+        /// Current version of the document.
         current_version: u64,
-        /// Against the text in force.
+        /// Difference between the current text and the offered one.
         difference: Arc<str>,
     },
 }
 
-fn verdict(result: apply_result::Reader<'_>) -> Result<Attempt<Verdict>, capnp::Error> {
+fn apply_outcome(result: apply_result::Reader<'_>) -> Result<Attempt<ApplyOutcome>, capnp::Error> {
     Ok(match result.which()? {
-        apply_result::Accepted(accepted) => Attempt::Done(Verdict::Accepted {
+        apply_result::Accepted(accepted) => Attempt::Done(ApplyOutcome::Accepted {
             version: accepted.get_version(),
             revision: accepted.get_revision(),
         }),
-        apply_result::Conflict(conflict) => Attempt::Done(Verdict::Conflict {
+        apply_result::Conflict(conflict) => Attempt::Done(ApplyOutcome::Conflict {
             current_version: conflict.get_current_version(),
             difference: text(conflict.get_difference()?)?,
         }),
@@ -65,12 +65,12 @@
     })
 }
 
-/// Offers a change; a lost answer is asked for again with the same change id.
+/// Sends a change; it is retried with the same change id if the answer is lost.
 ///
 /// # Errors
 ///
 /// Fails as [`Client::call`] does.
-pub async fn apply(client: &Client, change: &Change) -> Result<Verdict, ToolError> {
+pub async fn apply(client: &Client, change: &Change) -> Result<ApplyOutcome, ToolError> {
     let call = async |operator: operator::Client| {
         let mut req = operator.apply_request();
         let mut offered = req.get().init_change();
@@ -79,12 +79,12 @@
         offered.set_expected_version(change.expected_version);
         offered.set_change_id(&*change.change_id);
         let response = req.send().promise.await?;
-        verdict(response.get()?.get_result()?)
+        apply_outcome(response.get()?.get_result()?)
     };
-    client.call(Repeat::Idempotent, call).await
+    client.call(RetryPolicy::Idempotent, call).await
 }
 
-/// Marks a VM or backend server as leaving; doing so twice is harmless.
+/// Marks a VM or backend server as leaving, which is idempotent.
 ///
 /// # Errors
 ///
@@ -96,12 +96,12 @@
         let response = req.send().promise.await?;
         let result = response.get()?;
         let row = DrainRow { name: name.into(), incarnation: result.get_incarnation() };
-        unless_failed(result.get_failure()?, row)
+        attempt_result(result.get_failure()?, row)
     };
-    client.call(Repeat::Idempotent, call).await
+    client.call(RetryPolicy::Idempotent, call).await
 }
 
-/// Settles a call of unknown outcome; it is not sent again after a lost answer.
+/// Resolves a call of unknown outcome; it is not retried if the answer is lost.
 ///
 /// # Errors
 ///
@@ -114,29 +114,29 @@
         req.get().set_ran(row.ran);
         req.get().set_note(note);
         let response = req.send().promise.await?;
-        unless_failed(response.get()?.get_failure()?, ())
+        attempt_result(response.get()?.get_failure()?, ())
     };
-    client.call(Repeat::Once, call).await
+    client.call(RetryPolicy::Once, call).await
 }
 
-/// Changes who takes part in a group; it is not sent again after a lost answer.
+/// Changes the replicas of a group; the call is not retried if the answer is lost.
 ///
 /// # Errors
 ///
 /// Fails as [`Client::call`] does.
 pub async fn replicas(client: &Client, row: &ReplicasRow) -> Result<(), ToolError> {
-    let wanted = match row.change {
-        ReplicaChange::Add => Wanted::AddLearner,
-        ReplicaChange::Promote => Wanted::Promote,
-        ReplicaChange::Remove => Wanted::Remove,
+    let wire_change = match row.change {
+        ReplicaChange::Add => WireReplicaChange::AddLearner,
+        ReplicaChange::Promote => WireReplicaChange::Promote,
+        ReplicaChange::Remove => WireReplicaChange::Remove,
     };
     let call = async |operator: operator::Client| {
         let mut req = operator.replicas_request();
         req.get().set_group(row.group);
         req.get().set_node(row.node);
-        req.get().set_change(wanted);
+        req.get().set_change(wire_change);
         let response = req.send().promise.await?;
-        unless_failed(response.get()?.get_failure()?, ())
+        attempt_result(response.get()?.get_failure()?, ())
     };
-    client.call(Repeat::Once, call).await
+    client.call(RetryPolicy::Once, call).await
 }
--- a/agatetrestle_cli/src/client.rs
+++ b/agatetrestle_cli/src/client.rs
@@ -1,7 +1,7 @@
-//! Calls to whichever node answers.
+//! RPC client with failover between nodes.
 //!
-//! A call goes to the first address and moves on when that one doesn't answer. Whether it may be
-//! sent again after its answer was lost depends on the call: reads and changes with a change id may.
+//! A call is sent to the configured addresses in turn until one answers. Whether it is retried after its answer was lost
+//! depends on its [`RetryPolicy`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,67 +19,67 @@
 
 use crate::error::ToolError;
 
-/// How often a call that may be repeated goes round all addresses.
-const ROUNDS: usize = 2;
+/// Maximum number of times that a call is sent to each address.
+const MAX_ROUNDS: usize = 2;
 
-/// Whether a call may be sent again after its answer was lost.
+/// Whether a call may be retried after its answer was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Repeat {
-    /// It changes nothing.
+pub enum RetryPolicy {
+    /// The call has no side effects and is retried.
     Read,
-    /// Sending it again gives the first result.
+    /// The call is retried; a repetition returns the first result.
     Idempotent,
-    /// It is sent at most once after a connection was made.
+    /// The call is not retried once it may have been sent.
     Once,
 }
 
-/// What a node made of a call.
+/// Outcome of a call to one node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Attempt<T> {
-    /// The result.
+    /// The call succeeded.
     Done(T),
-    /// The input was refused; no other node will take it.
+    /// The node rejected the input, as every other node would.
     Invalid(Arc<str>),
-    /// This node could not take the call; nothing was changed.
+    /// The node could not accept the call; nothing was changed.
     Unavailable(Arc<str>),
-    /// The change may yet be applied.
+    /// The call may have taken effect or may still do so.
     Unknown(Arc<str>),
 }
 
-/// Addresses of nodes with the time each step may take.
+/// Client of the operators' RPC, with the nodes' addresses and timeouts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Client {
-    /// Addresses for operators, in the order in which they are tried.
+    /// Operator addresses of nodes, in the order in which they are tried.
     pub addresses: Vec<SocketAddr>,
-    /// Time for a connection.
-    pub connect_time: Duration,
-    /// Time for an answer.
-    pub answer_time: Duration,
+    /// Timeout for establishing a connection.
+    pub connect_timeout: Duration,
+    /// Timeout for an answer.
+    pub answer_timeout: Duration,
 }
 
 impl Client {
-    /// A client with the usual times.
+    /// Creates a client with the default timeouts.
     #[must_use]
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
-        Self { addresses, connect_time: Duration::from_secs(2), answer_time: Duration::from_secs(10) }
+        Self { addresses, connect_timeout: Duration::from_secs(2), answer_timeout: Duration::from_secs(10) }
     }
 
-    /// Makes a call on the first node that gives a result.
+    /// Sends a call to one node after another until one returns a result.
     ///
     /// # Errors
     ///
-    /// Fails as [`ToolError::Invalid`] if a node refused the input, as [`ToolError::Unknown`] if an
-    /// answer to a change was lost and no resend settled it, and else as [`ToolError::Unavailable`].
+    /// Fails with [`ToolError::Invalid`] if a node rejected the input, with [`ToolError::Unknown`] if the outcome of a
+    /// change is unknown after all retries, and otherwise with [`ToolError::Unavailable`].
     pub async fn call<T>(
         &self,
-        repeat: Repeat,
-        f: impl AsyncFn(operator::Client) -> Result<Attempt<T>, capnp::Error>,
+        policy: RetryPolicy,
+        call: impl AsyncFn(operator::Client) -> Result<Attempt<T>, capnp::Error>,
     ) -> Result<T, ToolError> {
         let mut failures = Failures::default();
-        let rounds = if repeat == Repeat::Once { 1 } else { ROUNDS };
+        let rounds = if policy == RetryPolicy::Once { 1 } else { MAX_ROUNDS };
         for address in self.addresses.iter().cycle().take(rounds * self.addresses.len()) {
             let attempt = match self.connect(*address).await {
-                Ok(stream) => self.converse(stream, &f).await,
+                Ok(stream) => self.call_over(stream, &call).await,
                 Err(e) => Attempt::Unavailable(e.to_string().into()),
             };
             match attempt {
@@ -88,8 +88,8 @@
                 Attempt::Unavailable(reason) => failures.push(*address, &reason),
                 Attempt::Unknown(reason) => {
                     failures.push(*address, &reason);
-                    failures.in_doubt |= repeat != Repeat::Read;
-                    if repeat == Repeat::Once {
+                    failures.outcome_unknown |= policy != RetryPolicy::Read;
+                    if policy == RetryPolicy::Once {
                         break;
                     }
                 }
@@ -99,32 +99,32 @@
     }
 
     async fn connect(&self, address: SocketAddr) -> std::io::Result<TcpStream> {
-        let limit = async {
-            Timer::after(self.connect_time).await;
+        let timeout = async {
+            Timer::after(self.connect_timeout).await;
             Err(std::io::ErrorKind::TimedOut.into())
         };
-        TcpStream::connect(address).or(limit).await
+        TcpStream::connect(address).or(timeout).await
     }
 
-    async fn converse<T>(
+    async fn call_over<T>(
         &self,
         stream: TcpStream,
-        f: &impl AsyncFn(operator::Client) -> Result<Attempt<T>, capnp::Error>,
+        call: &impl AsyncFn(operator::Client) -> Result<Attempt<T>, capnp::Error>,
     ) -> Attempt<T> {
         let network = VatNetwork::new(stream.clone(), stream, Side::Client, ReaderOptions::new());
         let mut system = RpcSystem::new(Box::new(network), None);
         let client: operator::Client = system.bootstrap(Side::Server);
-        let lost = async {
+        let disconnected = async {
             match system.await {
                 Ok(()) => Err(capnp::Error::disconnected("the node closed the connection".to_owned())),
                 Err(e) => Err(e),
             }
         };
-        let limit = async {
-            Timer::after(self.answer_time).await;
-            Err(capnp::Error::disconnected("no answer in time".to_owned()))
+        let timeout = async {
+            Timer::after(self.answer_timeout).await;
+            Err(capnp::Error::disconnected(format!("no answer within {:?}", self.answer_timeout)))
         };
-        match f(client).or(lost).or(limit).await {
+        match call(client).or(disconnected).or(timeout).await {
             Ok(attempt) => attempt,
             Err(e) if e.kind == ErrorKind::Overloaded => Attempt::Unavailable(e.to_string().into()),
             Err(e) if e.kind == ErrorKind::Unimplemented => Attempt::Invalid(e.to_string().into()),
@@ -133,23 +133,23 @@
     }
 }
 
-/// What each address answered so far.
+/// Failures of a call so far.
 #[derive(Default)]
 struct Failures {
-    told: Vec<String>,
-    in_doubt: bool,
+    reasons: Vec<String>,
+    outcome_unknown: bool,
 }
 
 impl Failures {
     fn push(&mut self, address: SocketAddr, reason: &str) {
         let line = format!("{address}: {reason}");
-        if !self.told.contains(&line) {
-            self.told.push(line);
+        if !self.reasons.contains(&line) {
+            self.reasons.push(line);
         }
     }
 
     fn into_error(self) -> ToolError {
-        let reason = self.told.join("; ").into();
-        if self.in_doubt { ToolError::Unknown { reason } } else { ToolError::Unavailable { reason } }
+        let reason = self.reasons.join("; ").into();
+        if self.outcome_unknown { ToolError::Unknown { reason } } else { ToolError::Unavailable { reason } }
     }
 }
--- a/agatetrestle_cli/src/commands.rs
+++ b/agatetrestle_cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out one command.
+//! Execution of commands.
 
 use std::fs::File;
 use std::io::BufRead;
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::account::Account;
 use crate::apply;
 use crate::calls;
 use crate::calls::changes;
 use crate::calls::changes::Change;
 use crate::client::Client;
 use crate::error::ToolError;
+use crate::losses::LossSummary;
 use crate::options::Apply;
 use crate::options::Command;
 use crate::options::Format;
@@ -22,39 +22,39 @@
 use crate::options::Resolve;
 use crate::options::Shell;
 use crate::report::Report;
-use crate::rows::InForce;
+use crate::rows::ActiveConfig;
 use crate::rows::Plan;
 use crate::rows::ReplicasRow;
 use crate::rows::ResolvedRow;
 use crate::rows::Status;
 use crate::table::table;
 
-const BASH: &str = include_str!("../../extra/completions/agatetrestle.bash");
-const FISH: &str = include_str!("../../extra/completions/agatetrestle.fish");
-const ZSH: &str = include_str!("../../extra/completions/_agatetrestle");
+const BASH_COMPLETIONS: &str = include_str!("../../extra/completions/agatetrestle.bash");
+const FISH_COMPLETIONS: &str = include_str!("../../extra/completions/agatetrestle.fish");
+const ZSH_COMPLETIONS: &str = include_str!("../../extra/completions/_agatetrestle");
 
-/// Largest file of declarations, below the largest message that a node takes.
-const MAX_FILE: usize = 768 << 10;
+/// Maximum size of a declarations file; it must stay below the message size limit of nodes.
+const MAX_FILE_BYTES: usize = 768 << 10;
 
-/// Carries out the command and tells what came of it.
+/// Executes the command of a command line and returns its output.
 pub async fn run(options: &Options) -> Report {
     let client = Client::new(options.addresses.clone());
     run_with(&client, options.format, &options.command).await
 }
 
-/// As [`run`], with a client of the caller's own.
+/// Executes a command with the given client.
 pub async fn run_with(client: &Client, format: Format, command: &Command) -> Report {
-    perform(client, format, command).await.unwrap_or_else(|e| Report::failure(format, &e))
+    execute(client, format, command).await.unwrap_or_else(|e| Report::failure(format, &e))
 }
 
-async fn perform(client: &Client, format: Format, command: &Command) -> Result<Report, ToolError> {
+async fn execute(client: &Client, format: Format, command: &Command) -> Result<Report, ToolError> {
     Ok(match command {
         Command::Apply(args) => apply_change(client, format, args).await?,
         Command::Plan { scope, file } => {
-            let plan = calls::plan(client, scope, &read(file)?).await?;
-            Report::result(format, &plan, show_plan)
+            let plan = calls::plan(client, scope, &read_declarations(file)?).await?;
+            Report::result(format, &plan, format_plan)
         }
-        Command::Status => Report::result(format, &calls::status(client).await?, show_status),
+        Command::Status => Report::result(format, &calls::status(client).await?, format_status),
         Command::Programs { partner, limit } => {
             let rows = calls::programs(client, partner, *limit).await?;
             Report::result(format, &rows, |rows| table(rows))
@@ -71,48 +71,46 @@
                 lines.iter().flat_map(|line| [&**line, "\n"]).collect()
             })
         }
-        Command::Resolve(args) => settle(client, format, args).await?,
+        Command::Resolve(args) => resolve(client, format, args).await?,
         Command::Replicas(args) => {
             let row = ReplicasRow { group: args.group, change: args.change, node: args.node };
             changes::replicas(client, &row).await?;
             Report::result(format, &row, |row| table(std::slice::from_ref(row)))
         }
-        Command::Account { span, logs } => account(format, *span, logs)?,
+        Command::Account { span, logs } => summarize_losses(format, *span, logs)?,
         Command::Completions(shell) => {
             Report::result(Format::Table, &(), |()| completions(*shell).to_owned())
         }
     })
 }
 
-fn account(format: Format, span: u64, logs: &[PathBuf]) -> Result<Report, ToolError> {
-    let mut account = Account::new(span);
+fn summarize_losses(format: Format, interval_s: u64, logs: &[PathBuf]) -> Result<Report, ToolError> {
+    let mut summary = LossSummary::new(interval_s);
     for log in logs {
-        let refused = |failure: std::io::Error| ToolError::File {
-            file: log.clone(),
-            reason: failure.to_string().into(),
-        };
-        let lines = BufReader::new(File::open(log).map_err(refused)?).split(b'\n');
+        let file_error =
+            |e: std::io::Error| ToolError::File { file: log.clone(), reason: e.to_string().into() };
+        let lines = BufReader::new(File::open(log).map_err(file_error)?).split(b'\n');
         for line in lines {
-            account.add(&String::from_utf8_lossy(&line.map_err(refused)?));
+            summary.add(&String::from_utf8_lossy(&line.map_err(file_error)?));
         }
     }
-    Ok(Report::result(format, &account.losses(), |losses| table(losses)))
+    Ok(Report::result(format, &summary.losses(), |losses| table(losses)))
 }
 
-fn read(file: &Path) -> Result<Arc<str>, ToolError> {
-    let refused = |reason| ToolError::File { file: file.into(), reason };
-    let text = std::fs::read_to_string(file).map_err(|e| refused(e.to_string().into()))?;
-    if text.len() > MAX_FILE {
-        return Err(refused(format!("larger than the {MAX_FILE} bytes that a node takes").into()));
+fn read_declarations(file: &Path) -> Result<Arc<str>, ToolError> {
+    let file_error = |reason| ToolError::File { file: file.into(), reason };
+    let text = std::fs::read_to_string(file).map_err(|e| file_error(e.to_string().into()))?;
+    if text.len() > MAX_FILE_BYTES {
+        return Err(file_error(format!("larger than the limit of {MAX_FILE_BYTES} bytes").into()));
     }
     Ok(text.into())
 }
 
 async fn apply_change(client: &Client, format: Format, args: &Apply) -> Result<Report, ToolError> {
-    let text = read(&args.file)?;
+    let text = read_declarations(&args.file)?;
     let expected_version = args.expected_version;
-    let derived = || apply::default_change_id(&args.scope, expected_version, &text);
-    let change_id = args.change_id.as_deref().map_or_else(derived, Into::into);
+    let default_id = || apply::default_change_id(&args.scope, expected_version, &text);
+    let change_id = args.change_id.as_deref().map_or_else(default_id, Into::into);
     let change = Change { scope: args.scope.as_str().into(), text, expected_version, change_id };
     let row = apply::apply(client, &change).await?;
     if args.wait {
@@ -122,11 +120,11 @@
 }
 
 async fn show_config(client: &Client, format: Format, scope: Option<&str>) -> Result<Report, ToolError> {
-    let InForce { revision, mut documents } = calls::config(client).await?;
+    let ActiveConfig { revision, mut documents } = calls::config(client).await?;
     let Some(scope) = scope else {
-        let in_force = InForce { revision, documents };
-        return Ok(Report::result(format, &in_force, |all| {
-            format!("revision {}\n\n{}", all.revision, table(&all.documents))
+        let config = ActiveConfig { revision, documents };
+        return Ok(Report::result(format, &config, |config| {
+            format!("revision {}\n\n{}", config.revision, table(&config.documents))
         }));
     };
     documents.retain(|document| &*document.scope == scope);
@@ -136,29 +134,29 @@
     }
 }
 
-async fn settle(client: &Client, format: Format, args: &Resolve) -> Result<Report, ToolError> {
+async fn resolve(client: &Client, format: Format, args: &Resolve) -> Result<Report, ToolError> {
     let row = ResolvedRow { program: args.program.as_str().into(), call: args.call, ran: args.ran };
     changes::resolve(client, &row, &args.note).await?;
     Ok(Report::result(format, &row, |row| table(std::slice::from_ref(row))))
 }
 
-fn show_plan(plan: &Plan) -> String {
+fn format_plan(plan: &Plan) -> String {
     format!("current version {}\n{}", plan.current_version, plan.difference)
 }
 
-fn show_status(status: &Status) -> String {
-    let work = if status.taking_work { "takes new work" } else { "takes no new work" };
+fn format_status(status: &Status) -> String {
+    let availability = if status.taking_work { "takes new work" } else { "takes no new work" };
     let reason = if status.reason.is_empty() { String::new() } else { format!(": {}", status.reason) };
-    let head = format!("node {} at revision {} {work}{reason}", status.node, status.revision);
+    let head = format!("node {} at revision {} {availability}{reason}", status.node, status.revision);
     format!("{head}\n\n{}\n{}", table(&status.nodes), table(&status.groups))
 }
 
-/// The text that makes a shell ask the tool itself what may come next.
+/// Returns the completion script of a shell, which queries the tool for candidates.
 #[must_use]
 pub fn completions(shell: Shell) -> &'static str {
     match shell {
-        Shell::Bash => BASH,
-        Shell::Fish => FISH,
-        Shell::Zsh => ZSH,
+        Shell::Bash => BASH_COMPLETIONS,
+        Shell::Fish => FISH_COMPLETIONS,
+        Shell::Zsh => ZSH_COMPLETIONS,
     }
 }
--- a/agatetrestle_cli/src/error.rs
+++ b/agatetrestle_cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of the tool and the exit code of each kind.
+//! Errors of the tool and their exit codes.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -8,99 +8,99 @@
 
 use crate::rows::NodeRow;
 
-/// Exit codes; docs/operators/README.md lists them for people.
+/// Exit codes, documented for operators in docs/operators/README.md.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub enum Exit {
-    /// All went well.
+    /// The command succeeded.
     Done = 0,
-    /// The result could not be written out.
+    /// The output could not be written.
     Output = 1,
-    /// The command line can't be read.
+    /// The command line is invalid.
     Usage = 2,
-    /// The input was refused; sending it again changes nothing.
+    /// The input was rejected; a retry would fail the same way.
     Invalid = 3,
-    /// Another change came first.
+    /// The document has another version than expected.
     Conflict = 4,
-    /// No node took the call; nothing was changed.
+    /// No node accepted the call; nothing was changed.
     Unavailable = 5,
-    /// Nobody can tell whether the change was taken.
+    /// It is unknown whether the change was accepted.
     Unknown = 6,
-    /// The change was accepted but not every node has it in force.
+    /// The change was accepted but is not yet in force on every node.
     Lagging = 7,
 }
 
-/// Why a command did not succeed.
+/// Error of a command.
 #[derive(Debug, Serialize, Snafu)]
 #[serde(rename_all = "snake_case", tag = "error")]
 pub enum ToolError {
-    /// A file that the command names can't be read.
+    /// A file argument can't be used.
     #[snafu(display("{}: {reason}", file.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the operating system said.
+        /// Description of the error.
         reason: Arc<str>,
     },
-    /// The node refused the input.
+    /// The input was rejected.
     #[snafu(display("refused: {reason}"))]
     Invalid {
-        /// What would have been accepted.
+        /// Reason of the rejection.
         reason: Arc<str>,
     },
-    /// Another change of the document came first.
+    /// The document has another version than expected.
     #[snafu(display("conflict: {scope} is at version {current_version}{}", against(difference)))]
     Conflict {
-        /// The document.
+        /// Name of the document.
         scope: Arc<str>,
-        /// Version in force.
+        /// Current version of the document.
         current_version: u64,
-        /// Lines that the offered text removes from and adds to the text in force.
+        /// Lines that the offered text removes from and adds to the current text.
         difference: Arc<str>,
     },
-    /// No node took the call.
+    /// No node accepted the call.
     #[snafu(display("not accepted: {reason}"))]
     Unavailable {
-        /// What each address answered.
+        /// Errors by address.
         reason: Arc<str>,
     },
-    /// The answer was lost.
+    /// It is unknown whether the change was accepted.
     #[snafu(display("unknown whether it was accepted: {reason}"))]
     Unknown {
-        /// What each address answered.
+        /// Errors by address.
         reason: Arc<str>,
     },
-    /// Accepted, but not in force everywhere within the time given.
+    /// The change was accepted but was not in force on every node before the timeout.
     #[snafu(display(
         "accepted as version {version}, but these nodes have not confirmed it:{}",
         names(nodes)
     ))]
     Lagging {
-        /// Version that was accepted.
+        /// New version of the document.
         version: u64,
-        /// Revision that the nodes lack.
+        /// Revision of the configuration with the change.
         revision: u64,
-        /// The nodes that lag behind.
+        /// Nodes with an older revision.
         nodes: Vec<NodeRow>,
     },
 }
 
 fn names(nodes: &[NodeRow]) -> String {
-    let one = |node: &NodeRow| {
+    let line = |node: &NodeRow| {
         format!("\n  {} (node {}, {}, at {})", node.vm, node.node, node.state, node.revision)
     };
-    nodes.iter().map(one).collect()
+    nodes.iter().map(line).collect()
 }
 
 fn against(difference: &str) -> Arc<str> {
     if difference.is_empty() {
-        return ", and its text is the offered one".into();
+        return ", which has the same text as this change".into();
     }
-    format!("; against it, this change is\n{}", difference.trim_end()).into()
+    format!("; relative to that version, this change is\n{}", difference.trim_end()).into()
 }
 
 impl ToolError {
-    /// The exit code of this kind of failure.
+    /// Returns the exit code of the error.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
--- a/agatetrestle_cli/src/lib.rs
+++ b/agatetrestle_cli/src/lib.rs
@@ -1,14 +1,14 @@
-//! Command-line tool for operators: each command is one call to a node, told as a table or as JSON.
+//! Command-line tool for operators; the results of RPC calls to nodes are printed as tables or JSON.
 //!
-//! The commands live in a library so that tests run them against a node in the same process; see
-//! docs/operators/README.md for what each does and for the exit codes.
+//! The commands are in a library so that tests can run them against nodes in the same process. See
+//! docs/operators/README.md for the commands and exit codes.
 
-pub mod account;
 pub mod apply;
 pub mod calls;
 pub mod client;
 pub mod commands;
 pub mod error;
+pub mod losses;
 pub mod options;
 pub mod report;
 pub mod rows;
--- a/agatetrestle_cli/src/account.rs
+++ b/agatetrestle_cli/src/losses.rs
@@ -1,7 +1,6 @@
-//! Where requests were lost or late, summed from the logs of entries by moment, service and cause.
+//! Sums failed and slow requests from the logs of entries by time, service and cause.
 //!
-//! Each line of a request tells what became of it and where its time went (docs/operators/metrics-and-logs.md). Added up, they
-//! say what to look at first: a cause of ours, or what no entry can mend.
+//! An entry logs the outcome and timing of each request; see docs/operators/metrics-and-logs.md.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -10,35 +9,35 @@
 
 use crate::table::Row;
 
-/// Waits at an entry from which a request counts as held up there; a look at what waits comes every 20 ms.
-const HELD_US: u64 = 40_000;
-/// Commits from which a turn counts as held up by its group; one over failure domains takes some 10 ms.
-const SLOW_COMMIT_US: u64 = 100_000;
+/// Requests that waited longer at the entry count as [`Cause::Held`].
+const MAX_NORMAL_WAIT_US: u64 = 40_000;
+/// Requests whose commit took longer count as [`Cause::SlowCommit`].
+const MAX_NORMAL_COMMIT_US: u64 = 100_000;
 
-/// What cost a request its answer or its time.
+/// Why a request failed or was slow.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The entry turned it away for want of a place.
+    /// The entry rejected it for lack of capacity.
     TurnedAway,
-    /// The entry knew no routes, or the state group had no leader.
+    /// The entry had no routes, or the state group had no leader.
     NotReady,
-    /// It waited at the entry.
+    /// It waited too long at the entry.
     Held,
-    /// Its commit took long.
+    /// Its commit to the state group was slow.
     SlowCommit,
-    /// The server broke off, or answered what is no answer.
+    /// The backend server closed the connection or sent an invalid response.
     ServerFailed,
-    /// The server said nothing.
+    /// The backend server did not respond in time.
     ServerSilent,
-    /// The caller went away before the answer.
+    /// The caller disconnected before the response was complete.
     CallerLeft,
 }
 
 impl Cause {
-    /// Whether a decision or a part of the system itself is behind it.
+    /// Whether the cause lies in this system rather than in a backend server or the caller.
     #[must_use]
-    pub fn is_ours(self) -> bool {
+    pub fn is_internal(self) -> bool {
         matches!(self, Self::TurnedAway | Self::NotReady | Self::Held | Self::SlowCommit)
     }
 
@@ -55,25 +54,25 @@
     }
 }
 
-/// Requests of one service in one span of time that one cause struck.
+/// Requests of one service that one cause affected in one interval.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Loss {
-    /// Start of the span, in seconds of the day.
+    /// Start of the interval, in seconds since midnight.
     pub second: u64,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// All its requests in that span.
+    /// Number of all requests of the service in the interval.
     pub requests: u64,
-    /// The cause.
+    /// Cause of the failures or delays.
     pub cause: Cause,
-    /// Whether it is ours.
+    /// Whether the cause is internal; see [`Cause::is_internal`].
     pub ours: bool,
-    /// Requests that it struck.
+    /// Number of affected requests.
     pub struck: u64,
 }
 
 impl Row for Loss {
-    const HEADS: &'static [&'static str] = &["TIME", "SERVICE", "REQUESTS", "STRUCK", "CAUSE", "WHOSE"];
+    const HEADERS: &'static [&'static str] = &["TIME", "SERVICE", "REQUESTS", "STRUCK", "CAUSE", "WHOSE"];
 
     fn cells(&self) -> Vec<String> {
         let (minutes, seconds) = (self.second / 60, self.second % 60);
@@ -88,55 +87,55 @@
     }
 }
 
-/// The sums over lines of logs.
+/// Accumulates the losses of log lines.
 #[derive(Debug)]
-pub struct Account {
-    span: u64,
+pub struct LossSummary {
+    interval_s: u64,
     requests: HashMap<(u64, String), u64>,
-    struck: BTreeMap<(u64, String, Cause), u64>,
+    affected: BTreeMap<(u64, String, Cause), u64>,
 }
 
-impl Account {
-    /// An account without requests, by spans of so many seconds.
+impl LossSummary {
+    /// Creates an empty summary with intervals of `interval_s` seconds, at least 1.
     #[must_use]
-    pub fn new(span: u64) -> Self {
-        Self { span: span.max(1), requests: HashMap::new(), struck: BTreeMap::new() }
+    pub fn new(interval_s: u64) -> Self {
+        Self { interval_s: interval_s.max(1), requests: HashMap::new(), affected: BTreeMap::new() }
     }
 
-    /// Adds a line; one that tells of no request adds nothing.
+    /// Adds a log line; lines that don't describe a request are ignored.
     pub fn add(&mut self, line: &str) {
-        let Some((second, fields)) = read(line) else {
+        let Some((second, fields)) = parse_line(line) else {
             return;
         };
         let Some(service) = fields.get("service").filter(|service| !service.is_empty()) else {
             return;
         };
-        let place = (second / self.span * self.span, (*service).to_owned());
-        *self.requests.entry(place.clone()).or_default() += 1;
-        if let Some(cause) = cause(&fields, outcome(line)) {
-            *self.struck.entry((place.0, place.1, cause)).or_default() += 1;
+        let key = (second / self.interval_s * self.interval_s, (*service).to_owned());
+        *self.requests.entry(key.clone()).or_default() += 1;
+        if let Some(cause) = classify(&fields, outcome(line)) {
+            *self.affected.entry((key.0, key.1, cause)).or_default() += 1;
         }
     }
 
-    /// The losses in order of time.
+    /// Returns the losses, ordered by time, service and cause.
     #[must_use]
     pub fn losses(&self) -> Vec<Loss> {
-        let loss = |((second, service, cause), struck): (&(u64, String, Cause), &u64)| Loss {
+        let loss = |((second, service, cause), affected): (&(u64, String, Cause), &u64)| Loss {
             second: *second,
             service: service.clone(),
             requests: self.requests.get(&(*second, service.clone())).copied().unwrap_or(0),
             cause: *cause,
-            ours: cause.is_ours(),
-            struck: *struck,
+            ours: cause.is_internal(),
+            struck: *affected,
         };
-        self.struck.iter().map(loss).collect()
+        self.affected.iter().map(loss).collect()
     }
 }
 
-/// The second of the day and the fields of a line that tells of a request.
-fn read(line: &str) -> Option<(u64, HashMap<&str, &str>)> {
-    let (head, rest) = line.split_once(" request=")?;
-    let time = head.split(' ').find_map(|word| word.split_once('T').map(|(_, time)| time))?;
+/// Parses the time, in seconds since midnight, and the fields of a line that describes a request.
+fn parse_line(line: &str) -> Option<(u64, HashMap<&str, &str>)> {
+    let (prefix, rest) = line.split_once(" request=")?;
+    let time = prefix.split(' ').find_map(|word| word.split_once('T').map(|(_, time)| time))?;
     let mut parts = time.split(':');
     let (hours, minutes) = (parts.next()?.parse::<u64>().ok()?, parts.next()?.parse::<u64>().ok()?);
     let seconds = parts.next()?.get(..2)?.parse::<u64>().ok()?;
@@ -150,7 +149,7 @@
         .map_or("", |(outcome, _)| outcome)
 }
 
-fn cause(fields: &HashMap<&str, &str>, outcome: &str) -> Option<Cause> {
+fn classify(fields: &HashMap<&str, &str>, outcome: &str) -> Option<Cause> {
     let micros = |name: &str| fields.get(name).and_then(|value| value.parse::<u64>().ok()).unwrap_or(0);
     match *fields.get("status")? {
         "0" => Some(Cause::CallerLeft),
@@ -161,8 +160,8 @@
         "503" => Some(Cause::NotReady),
         _ if outcome.starts_with("the server broke off") => Some(Cause::ServerFailed),
         _ if outcome.starts_with("the caller left") => Some(Cause::CallerLeft),
-        _ if micros("wait_us") > HELD_US => Some(Cause::Held),
-        _ if micros("begin_us") > SLOW_COMMIT_US => Some(Cause::SlowCommit),
+        _ if micros("wait_us") > MAX_NORMAL_WAIT_US => Some(Cause::Held),
+        _ if micros("begin_us") > MAX_NORMAL_COMMIT_US => Some(Cause::SlowCommit),
         _ => None,
     }
 }
--- a/agatetrestle_cli/src/account/tests.rs
+++ b/agatetrestle_cli/src/losses/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the account on lines as entries write them.
+//! Tests of the summary of losses on lines in the log format of entries.
 
 use super::*;
 use crate::table::table;
@@ -11,8 +11,8 @@
 }
 
 #[test]
-fn losses_are_summed_by_moment_service_and_cause() {
-    let mut account = Account::new(2);
+fn sums_losses_by_time_service_and_cause() {
+    let mut summary = LossSummary::new(2);
     for (second, service, status, outcome, wait, begin) in [
         (6, "app", 200, "whole", 80, 0),
         (7, "app", 503, "TooLate", 900_000, 0),
@@ -28,26 +28,26 @@
         (8, "engines", 402, "the budget of the program is spent", 0, 0),
         (9, "engines", 200, "the server broke off", 0, 0),
     ] {
-        account.add(&line(second, service, status, outcome, wait, begin));
+        summary.add(&line(second, service, status, outcome, wait, begin));
     }
-    insta::assert_snapshot!(table(&account.losses()));
+    insta::assert_snapshot!(table(&summary.losses()));
 }
 
 #[test]
-fn a_line_before_which_a_machine_is_named_counts_and_others_do_not() {
-    let mut account = Account::new(1);
-    account.add(&format!("  12.3456 entry-1 {}", line(30, "app", 503, "NoServer", 0, 0)));
+fn counts_prefixed_lines_and_skips_others() {
+    let mut summary = LossSummary::new(1);
+    summary.add(&format!("  12.3456 entry-1 {}", line(30, "app", 503, "NoServer", 0, 0)));
     for other in [
         "",
         "no line",
         "2026-01-13T19:06:30.1Z INFO  gateway: 3 backend servers are listed.",
         "T request=a status=0",
     ] {
-        account.add(other);
+        summary.add(other);
     }
-    account.add("2026-01-13T19:xx:30.1Z INFO  gateway: request=a service=app status=0");
-    account.add("2026-01-13T19:06:30.1Z INFO  gateway: request=a service= status=404");
-    let losses = account.losses();
+    summary.add("2026-01-13T19:xx:30.1Z INFO  gateway: request=a service=app status=0");
+    summary.add("2026-01-13T19:06:30.1Z INFO  gateway: request=a service= status=404");
+    let losses = summary.losses();
     assert_eq!(
         losses.iter().map(|loss| (loss.requests, loss.struck, loss.ours)).collect::<Vec<_>>(),
         [(1, 1, true)]
--- a/agatetrestle_cli/src/options.rs
+++ b/agatetrestle_cli/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line as it was read.
+//! Options and commands of the command line.
 
 mod parser;
 
@@ -7,91 +7,91 @@
 
 use serde::Serialize;
 
-/// Form of the output.
+/// Output format.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Format {
-    /// JSON for programs.
+    /// JSON, for scripts.
     Json,
-    /// Tables for people.
+    /// Plain-text tables.
     Table,
 }
 
-/// The whole command line.
+/// The parsed command line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Options {
-    /// Addresses of nodes for operators, tried in this order.
+    /// Operator addresses of nodes, in the order in which they are tried.
     pub addresses: Vec<SocketAddr>,
-    /// Form of the output.
+    /// Output format.
     pub format: Format,
-    /// What to do.
+    /// Command to execute.
     pub command: Command,
 }
 
-/// What to do.
+/// Command with its arguments.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Command {
-    /// Offer a change.
+    /// Apply a change of a document.
     Apply(Apply),
-    /// Ask what a change would do.
+    /// Show the difference that a change would make.
     Plan {
-        /// The document.
+        /// Name of the document.
         scope: String,
         /// File with the declarations.
         file: PathBuf,
     },
-    /// Show nodes and groups.
+    /// Show the nodes and groups.
     Status,
     /// List programs.
     Programs {
-        /// Only this partner's; empty for all.
+        /// Partner whose programs are listed; empty for all.
         partner: String,
-        /// Most rows.
+        /// Maximum number of rows.
         limit: u32,
     },
     /// List backend servers.
     Backends,
-    /// Mark as leaving.
+    /// Mark a VM or backend server as leaving.
     Drain {
-        /// VM or backend server.
+        /// Name of the VM or backend server.
         name: String,
     },
-    /// Show what is in force.
+    /// Show the documents in force.
     Config {
-        /// Only this document, as plain text.
+        /// Document to print as plain text; all are listed if absent.
         scope: Option<String>,
     },
     /// Print trace lines.
     Trace {
-        /// Most lines.
+        /// Maximum number of lines.
         limit: u32,
     },
-    /// Settle a call of unknown outcome.
+    /// Resolve a call of unknown outcome.
     Resolve(Resolve),
-    /// Change who takes part in a group.
+    /// Change the replicas of a group.
     Replicas(Replicas),
-    /// Sum up where requests were lost or late.
+    /// Sum failed and slow requests by cause.
     Account {
-        /// Length of the spans, in seconds.
+        /// Length of the intervals, in seconds.
         span: u64,
-        /// Logs of entries.
+        /// Log files of entries.
         logs: Vec<PathBuf>,
     },
-    /// Print the completions of a shell.
+    /// Print the completion script of a shell.
     Completions(Shell),
 }
 
 /// Arguments of `apply`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Apply {
-    /// Version that the operator saw.
+    /// Version of the document that the change is based on.
     pub expected_version: u64,
-    /// Identity of the change, if not the derived one.
+    /// Change id; derived from the change if absent.
     pub change_id: Option<String>,
-    /// Whether to wait until it is in force everywhere.
+    /// Whether to wait until the change is in force on every node.
     pub wait: bool,
-    /// How long to wait, in seconds.
+    /// Timeout of the wait, in seconds.
     pub wait_seconds: u64,
-    /// The document.
+    /// Name of the document.
     pub scope: String,
     /// File with the declarations.
     pub file: PathBuf,
@@ -102,9 +102,9 @@
 pub struct Resolve {
     /// Whether the call ran.
     pub ran: bool,
-    /// Why the operator is sure.
+    /// Justification that is stored with the call.
     pub note: String,
-    /// The program, `partner/name`.
+    /// Id of the program, `partner/name`.
     pub program: String,
     /// Number of the call.
     pub call: u32,
@@ -113,11 +113,11 @@
 /// Arguments of `replicas`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Replicas {
-    /// The group; 0 is the control group.
+    /// Number of the group; 0 is the control group.
     pub group: u32,
-    /// What to do.
+    /// Membership change.
     pub change: ReplicaChange,
-    /// The node.
+    /// Number of the node.
     pub node: u64,
 }
 
@@ -125,20 +125,20 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaChange {
-    /// The node receives the log but does not count yet.
+    /// Adds the node as a learner, which receives the log but does not vote.
     Add,
-    /// The learner counts; refused while it lags.
+    /// Makes the learner a voter; rejected while it lags.
     Promote,
-    /// The node takes no part any more.
+    /// Removes the node from the group.
     Remove,
 }
 
-/// A shell that completions are made for.
+/// Shell with completion support.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Shell {
     /// GNU Bash.
     Bash,
-    /// The friendly interactive shell.
+    /// The fish shell.
     Fish,
     /// The Z shell.
     Zsh,
--- a/agatetrestle_cli/src/options/parser.rs
+++ b/agatetrestle_cli/src/options/parser.rs
@@ -1,4 +1,4 @@
-//! The parser, from which help, manual page and completions are made.
+//! Command-line parser, from which the help, the manual page and the completions are generated.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,28 +19,27 @@
 use crate::options::Shell;
 
 const DEFAULT_PORT: u16 = 7402;
-const DEFAULT_ROWS: u32 = 1_000;
-/// Seconds that are summed up unless the operator says otherwise; short against a disturbance.
-const DEFAULT_SPAN: u64 = 2;
-const DEFAULT_WAIT: u64 = 10;
+const DEFAULT_MAX_ROWS: u32 = 1_000;
+const DEFAULT_INTERVAL_S: u64 = 2;
+const DEFAULT_WAIT_S: u64 = 10;
 
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 the output could not be written, 2 usage, 3 the input was refused, \
     4 another change came first, 5 no node accepted it, 6 unknown whether it was accepted, 7 accepted but not yet \
     in force on every node.";
 
 impl Options {
-    /// The parser.
+    /// Creates the command-line parser.
     #[must_use]
     pub fn parser() -> OptionParser<Self> {
         let addresses = long("address")
             .help("Address of a node for operators, 127.0.0.1:7402 if none is given; may stand several times, and the next is tried when one doesn't answer")
             .argument::<SocketAddr>("IP:PORT")
             .many()
-            .map(or_local);
+            .map(or_default_address);
         let format = long("output")
             .help("table (the default) or json")
             .argument::<String>("FORMAT")
-            .parse(|name| read_format(&name))
+            .parse(|name| parse_format(&name))
             .fallback(Format::Table);
         let command = command();
         construct!(Self { addresses, format, command })
@@ -51,11 +50,11 @@
     }
 }
 
-fn or_local(addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
+fn or_default_address(addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
     if addresses.is_empty() { vec![([127, 0, 0, 1], DEFAULT_PORT).into()] } else { addresses }
 }
 
-fn read_format(name: &str) -> Result<Format, &'static str> {
+fn parse_format(name: &str) -> Result<Format, &'static str> {
     match name {
         "json" => Ok(Format::Json),
         "table" => Ok(Format::Table),
@@ -63,7 +62,7 @@
     }
 }
 
-fn read_shell(name: &str) -> Result<Shell, &'static str> {
+fn parse_shell(name: &str) -> Result<Shell, &'static str> {
     match name {
         "bash" => Ok(Shell::Bash),
         "fish" => Ok(Shell::Fish),
@@ -72,7 +71,7 @@
     }
 }
 
-fn read_change(name: &str) -> Result<ReplicaChange, &'static str> {
+fn parse_change(name: &str) -> Result<ReplicaChange, &'static str> {
     match name {
         "add" => Ok(ReplicaChange::Add),
         "promote" => Ok(ReplicaChange::Promote),
@@ -125,8 +124,8 @@
     positional::<PathBuf>("FILE").help("The declarations in YAML")
 }
 
-fn rows() -> impl Parser<u32> {
-    long("limit").help("Most rows, 1000 if not given").argument::<u32>("N").fallback(DEFAULT_ROWS)
+fn limit() -> impl Parser<u32> {
+    long("limit").help("Most rows, 1000 if not given").argument::<u32>("N").fallback(DEFAULT_MAX_ROWS)
 }
 
 fn apply() -> impl Parser<Command> {
@@ -141,7 +140,7 @@
     let wait_seconds = long("wait-seconds")
         .help("How long to wait, 10 if not given")
         .argument::<u64>("N")
-        .fallback(DEFAULT_WAIT);
+        .fallback(DEFAULT_WAIT_S);
     let scope = scope();
     let file = file();
     construct!(Apply { expected_version, change_id, wait, wait_seconds, scope, file }).map(Command::Apply)
@@ -156,7 +155,7 @@
 fn programs() -> impl Parser<Command> {
     let partner =
         long("partner").help("Only this partner's programs").argument::<String>("P").fallback(String::new());
-    let limit = rows();
+    let limit = limit();
     construct!(Command::Programs { partner, limit })
 }
 
@@ -171,14 +170,14 @@
 }
 
 fn trace() -> impl Parser<Command> {
-    let limit = rows();
+    let limit = limit();
     construct!(Command::Trace { limit })
 }
 
 fn resolve() -> impl Parser<Command> {
-    let yes = long("ran").help("The call ran").req_flag(true);
-    let no = long("not-run").help("The call did not run").req_flag(false);
-    let ran = construct!([yes, no]);
+    let did_run = long("ran").help("The call ran").req_flag(true);
+    let not_run = long("not-run").help("The call did not run").req_flag(false);
+    let ran = construct!([did_run, not_run]);
     let note = long("note").help("Why you are sure; it is kept with the call").argument::<String>("TEXT");
     let program = positional::<String>("PROGRAM").help("The program, partner/name");
     let call = positional::<u32>("CALL").help("Number of the call");
@@ -189,7 +188,7 @@
     let group = long("group").help("The group; 0 is the control group").argument::<u32>("N");
     let change = positional::<String>("CHANGE")
         .help("add a node as a learner, promote it once it has caught up, or remove a node")
-        .parse(|name| read_change(&name));
+        .parse(|name| parse_change(&name));
     let node = positional::<u64>("NODE").help("Number of the node");
     construct!(Replicas { group, change, node }).map(Command::Replicas)
 }
@@ -198,7 +197,7 @@
     let span = long("span")
         .help("Seconds that are summed up, 2 if not given")
         .argument::<u64>("S")
-        .fallback(DEFAULT_SPAN);
+        .fallback(DEFAULT_INTERVAL_S);
     let logs =
         positional::<PathBuf>("LOG").help("The log of an entry, or of several together").some("name a log");
     construct!(Command::Account { span, logs })
@@ -207,6 +206,6 @@
 fn completions() -> impl Parser<Command> {
     positional::<String>("SHELL")
         .help("bash, fish or zsh")
-        .parse(|name| read_shell(&name))
+        .parse(|name| parse_shell(&name))
         .map(Command::Completions)
 }
--- a/agatetrestle_cli/src/options/tests.rs
+++ b/agatetrestle_cli/src/options/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the command line, of the manual page and of the completions made from it.
+//! Tests of the command line and of the manual page and completions that are generated from it.
 
 use bpaf::Args;
 use bpaf::doc::Section;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn every_command_is_read() {
+fn parses_every_command() {
     let lines = [
         "status",
         "programs --partner vrsta --limit 5",
@@ -27,21 +27,21 @@
         "account --span 5 entry-1.log entry-2.log",
         "completions zsh",
     ];
-    let read = lines.map(|line| parse(&line.split(' ').collect::<Vec<_>>()).unwrap().command);
-    insta::assert_debug_snapshot!(read);
+    let commands = lines.map(|line| parse(&line.split(' ').collect::<Vec<_>>()).unwrap().command);
+    insta::assert_debug_snapshot!(commands);
 }
 
 #[test]
-fn addresses_may_repeat_and_have_a_default() {
+fn accepts_repeated_addresses_and_default() {
     let options = parse(&["--address", "10.0.0.1:7402", "--address", "10.0.0.2:7402", "status"]).unwrap();
     assert_eq!(options.addresses.len(), 2);
     assert_eq!(parse(&["status"]).unwrap().addresses, ["127.0.0.1:7402".parse().unwrap()]);
-    let after = parse(&["status", "--address", "10.0.0.1:7402", "--output", "json"]).unwrap();
-    assert_eq!((after.addresses.len(), after.format), (1, Format::Json));
+    let trailing = parse(&["status", "--address", "10.0.0.1:7402", "--output", "json"]).unwrap();
+    assert_eq!((trailing.addresses.len(), trailing.format), (1, Format::Json));
 }
 
 #[test]
-fn wrong_lines_are_refused_with_a_reason() {
+fn rejects_invalid_command_lines() {
     let lines = [
         "",
         "aply vrsta vrsta.yaml",
@@ -52,35 +52,35 @@
         "replicas drop 4 --group 0",
         "completions tcsh",
     ];
-    let told = lines.map(|line| {
+    let errors = lines.map(|line| {
         let args: Vec<&str> = line.split(' ').filter(|word| !word.is_empty()).collect();
         format!("{line}\n  {}", parse(&args).unwrap_err().unwrap_stderr())
     });
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(errors.join("\n"));
 }
 
 #[test]
-fn help_tells_the_exit_codes() {
+fn help_lists_exit_codes() {
     let help = parse(&["--help"]).unwrap_err().unwrap_stdout();
     insta::assert_snapshot!(help);
 }
 
 #[test]
-fn the_manual_page_is_up_to_date() {
+fn manual_page_is_up_to_date() {
     let page = Options::parser().render_manpage("agatetrestle", Section::General, None, None, None);
     let committed = include_str!("../../../extra/man/agatetrestle.1");
-    assert_eq!(page, committed, "remake it by cargo run -p agatetrestle_cli --example tool_manual");
+    assert_eq!(page, committed, "regenerate it with cargo run -p agatetrestle_cli --example tool_manual");
 }
 
 #[test]
-fn the_completions_ask_with_a_revision_that_is_answered() {
+fn completions_request_supported_revision() {
     for revision in [7, 8, 9] {
         let args = Args::from(["pro"].as_slice()).set_name("agatetrestle").set_comp(revision);
         let answer = Options::parser().run_inner(args).unwrap_err().unwrap_stdout();
         assert!(answer.contains("programs"), "{revision}: {answer}");
     }
-    let stubs = [Shell::Zsh, Shell::Bash, Shell::Fish].map(crate::commands::completions);
-    for (stub, revision) in stubs.iter().zip([7, 8, 9]) {
-        assert!(stub.contains(&format!("--bpaf-complete-rev={revision}")), "{stub}");
+    let scripts = [Shell::Zsh, Shell::Bash, Shell::Fish].map(crate::commands::completions);
+    for (script, revision) in scripts.iter().zip([7, 8, 9]) {
+        assert!(script.contains(&format!("--bpaf-complete-rev={revision}")), "{script}");
     }
 }
--- a/agatetrestle_cli/src/report.rs
+++ b/agatetrestle_cli/src/report.rs
@@ -1,4 +1,4 @@
-//! What a command hands to the terminal.
+//! Output of a command.
 
 use serde::Serialize;
 
@@ -6,41 +6,41 @@
 use crate::error::ToolError;
 use crate::options::Format;
 
-/// Text for both streams and the exit code.
+/// Output streams and exit code of a command.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// For the standard output stream.
-    pub out: String,
-    /// For the standard error stream.
-    pub err: String,
-    /// The exit code.
+    /// Text for the standard output.
+    pub stdout: String,
+    /// Text for the standard error.
+    pub stderr: String,
+    /// Exit code of the process.
     pub exit: Exit,
 }
 
 impl Report {
-    /// A result, as JSON or in the form for people.
+    /// Creates the report of a result, as JSON or as rendered by `to_text`.
     #[must_use]
-    pub fn result<T: Serialize>(format: Format, value: &T, people: impl FnOnce(&T) -> String) -> Self {
-        let out = match format {
+    pub fn result<T: Serialize>(format: Format, value: &T, to_text: impl FnOnce(&T) -> String) -> Self {
+        let stdout = match format {
             Format::Json => json(value),
-            Format::Table => people(value),
+            Format::Table => to_text(value),
         };
-        Self { out, err: String::new(), exit: Exit::Done }
+        Self { stdout, stderr: String::new(), exit: Exit::Done }
     }
 
-    /// A failure; in JSON it goes to the standard output stream too, so that programs find it there.
+    /// Creates the report of an error; as JSON it goes to the standard output.
     #[must_use]
     pub fn failure(format: Format, error: &ToolError) -> Self {
         let message = format!("agatetrestle: {error}\n");
-        let (out, err) = match format {
+        let (stdout, stderr) = match format {
             Format::Json => (json(error), String::new()),
             Format::Table => (String::new(), message),
         };
-        Self { out, err, exit: error.exit() }
+        Self { stdout, stderr, exit: error.exit() }
     }
 }
 
 fn json<T: Serialize>(value: &T) -> String {
-    let text = serde_json::to_string_pretty(value).expect("rows hold nothing that JSON lacks");
+    let text = serde_json::to_string_pretty(value).expect("rows are representable in JSON");
     text + "\n"
 }
--- a/agatetrestle_cli/src/rows.rs
+++ b/agatetrestle_cli/src/rows.rs
@@ -1,4 +1,4 @@
-//! What each command prints, one small type a kind of row.
+//! Results of the commands, serialized as JSON or printed as table rows.
 
 use std::sync::Arc;
 
@@ -7,21 +7,21 @@
 use crate::options::ReplicaChange;
 use crate::table::Row;
 
-/// Outcome of an accepted change.
+/// Result of an accepted change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct AppliedRow {
-    /// The document.
+    /// Name of the document.
     pub scope: Arc<str>,
-    /// Its version now.
+    /// New version of the document.
     pub version: u64,
-    /// Revision of everything in force.
+    /// New revision of the configuration.
     pub revision: u64,
-    /// Identity of the change; a resend with it gives this same result.
+    /// Change id; a retry with the same id returns this result.
     pub change_id: Arc<str>,
 }
 
 impl Row for AppliedRow {
-    const HEADS: &'static [&'static str] = &["SCOPE", "VERSION", "REVISION", "CHANGE ID"];
+    const HEADERS: &'static [&'static str] = &["SCOPE", "VERSION", "REVISION", "CHANGE ID"];
 
     fn cells(&self) -> Vec<String> {
         vec![
@@ -33,36 +33,36 @@
     }
 }
 
-/// What a change would do.
+/// Preview of a change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Plan {
-    /// Version to expect when applying.
+    /// Current version of the document, to be expected when the change is applied.
     pub current_version: u64,
     /// Lines removed (`-`) and added (`+`).
     pub difference: Arc<str>,
 }
 
-/// A node.
+/// Status of a node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct NodeRow {
-    /// Its number.
+    /// Number of the node.
     pub node: u64,
-    /// Its VM.
+    /// Name of its VM.
     pub vm: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of its VM.
     pub failure_domain: Arc<str>,
-    /// Its region.
+    /// Region of its VM.
     pub region: Arc<str>,
     /// `live`, `stopping`, `silent` or `leaving`.
     pub state: Arc<str>,
-    /// Newest revision in force on it.
+    /// Revision of the configuration in force on it.
     pub revision: u64,
-    /// Where callers reach it.
+    /// Its address for callers.
     pub caller_address: Arc<str>,
 }
 
 impl Row for NodeRow {
-    const HEADS: &'static [&'static str] =
+    const HEADERS: &'static [&'static str] =
         &["NODE", "VM", "FAILURE DOMAIN", "REGION", "STATE", "REVISION", "CALLERS"];
 
     fn cells(&self) -> Vec<String> {
@@ -78,23 +78,23 @@
     }
 }
 
-/// A replicated group.
+/// Status of a replicated group.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct GroupRow {
-    /// Its number; 0 is the control group.
+    /// Number of the group; 0 is the control group.
     pub group: u32,
-    /// Its leader if known.
+    /// Node number of the leader, if known.
     pub leader: Option<u64>,
-    /// Newest term seen.
+    /// Latest known term.
     pub term: u64,
-    /// Highest committed index known.
+    /// Highest known commit index.
     pub commit: u64,
-    /// Its voters.
+    /// Node numbers of the voters.
     pub replicas: Vec<u64>,
 }
 
 impl Row for GroupRow {
-    const HEADS: &'static [&'static str] = &["GROUP", "LEADER", "TERM", "COMMIT", "REPLICAS"];
+    const HEADERS: &'static [&'static str] = &["GROUP", "LEADER", "TERM", "COMMIT", "REPLICAS"];
 
     fn cells(&self) -> Vec<String> {
         let replicas: Vec<String> = self.replicas.iter().map(u64::to_string).collect();
@@ -108,44 +108,45 @@
     }
 }
 
-/// How one node sees the whole.
+/// Status of the system in the view of one node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Status {
-    /// The node that answered.
+    /// Number of the answering node.
     pub node: u64,
-    /// Revision in force on it.
+    /// Revision of the configuration in force on it.
     pub revision: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub taking_work: bool,
-    /// Why not, if it doesn't.
+    /// Reason why it does not; empty otherwise.
     pub reason: Arc<str>,
     /// All known nodes.
     pub nodes: Vec<NodeRow>,
-    /// The groups of which it holds a replica.
+    /// The groups that it holds a replica of.
     pub groups: Vec<GroupRow>,
 }
 
-/// A program.
+/// Status of a program.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct ProgramRow {
-    /// Its id, `partner/name`.
+    /// Id of the program, `partner/name`.
     pub program: Arc<str>,
-    /// Its team.
+    /// Name of its team.
     pub team: Arc<str>,
-    /// Its class.
+    /// Name of its class.
     pub class: Arc<str>,
     /// `idle`, `calling`, `unknown` or `ended`.
     pub state: Arc<str>,
-    /// Calls made.
+    /// Number of calls so far.
     pub calls: u32,
-    /// Tokens spent.
+    /// Tokens spent so far.
     pub spent: u64,
-    /// Tokens it may spend.
+    /// Maximum number of tokens.
     pub budget: u64,
 }
 
 impl Row for ProgramRow {
-    const HEADS: &'static [&'static str] = &["PROGRAM", "TEAM", "CLASS", "STATE", "CALLS", "SPENT", "BUDGET"];
+    const HEADERS: &'static [&'static str] =
+        &["PROGRAM", "TEAM", "CLASS", "STATE", "CALLS", "SPENT", "BUDGET"];
 
     fn cells(&self) -> Vec<String> {
         vec![
@@ -160,25 +161,25 @@
     }
 }
 
-/// A backend server.
+/// Status of a backend server.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct BackendRow {
-    /// Declared name.
+    /// Name in the declarations.
     pub name: Arc<str>,
     /// `engine` or `service`.
     pub kind: Arc<str>,
-    /// IP number and port.
+    /// IP address and port.
     pub address: Arc<str>,
     /// `ready`, `leaving` or `ejected`.
     pub state: Arc<str>,
-    /// Calls of the answering node in service there.
+    /// Number of calls of the answering node that it runs.
     pub running: u32,
-    /// Calls waiting there by its last report.
+    /// Number of calls in its queue by its last report.
     pub waiting: u32,
 }
 
 impl Row for BackendRow {
-    const HEADS: &'static [&'static str] = &["NAME", "KIND", "ADDRESS", "STATE", "RUNNING", "WAITING"];
+    const HEADERS: &'static [&'static str] = &["NAME", "KIND", "ADDRESS", "STATE", "RUNNING", "WAITING"];
 
     fn cells(&self) -> Vec<String> {
         vec![
@@ -192,17 +193,17 @@
     }
 }
 
-/// A leaving mark.
+/// Result of marking a VM or backend server as leaving.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct DrainRow {
-    /// The VM or backend server.
+    /// Name of the VM or backend server.
     pub name: Arc<str>,
-    /// The incarnation that leaves; a newer one is live again.
+    /// Incarnation that is leaving; newer incarnations are not affected.
     pub incarnation: u64,
 }
 
 impl Row for DrainRow {
-    const HEADS: &'static [&'static str] = &["LEAVING", "INCARNATION"];
+    const HEADERS: &'static [&'static str] = &["LEAVING", "INCARNATION"];
 
     fn cells(&self) -> Vec<String> {
         vec![self.name.to_string(), self.incarnation.to_string()]
@@ -212,63 +213,63 @@
 /// A document in force.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct DocumentRow {
-    /// The partner, or `shared`.
+    /// Name of the partner, or `shared`.
     pub scope: Arc<str>,
-    /// Its version.
+    /// Version of the document.
     pub version: u64,
-    /// The text as it was applied.
+    /// Text as it was applied.
     pub text: Arc<str>,
 }
 
 impl Row for DocumentRow {
-    const HEADS: &'static [&'static str] = &["SCOPE", "VERSION", "LINES"];
+    const HEADERS: &'static [&'static str] = &["SCOPE", "VERSION", "LINES"];
 
     fn cells(&self) -> Vec<String> {
         vec![self.scope.to_string(), self.version.to_string(), self.text.lines().count().to_string()]
     }
 }
 
-/// Everything in force.
+/// The configuration in force on a node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct InForce {
-    /// Revision of the whole.
+pub struct ActiveConfig {
+    /// Revision of the configuration.
     pub revision: u64,
-    /// The documents.
+    /// Documents of the configuration.
     pub documents: Vec<DocumentRow>,
 }
 
-/// A call that an operator settled.
+/// Result of resolving a call of unknown outcome.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct ResolvedRow {
-    /// The program.
+    /// Id of the program.
     pub program: Arc<str>,
-    /// The call.
+    /// Number of the call.
     pub call: u32,
-    /// Whether it ran.
+    /// Whether the call ran, according to the operator.
     pub ran: bool,
 }
 
 impl Row for ResolvedRow {
-    const HEADS: &'static [&'static str] = &["PROGRAM", "CALL", "RAN"];
+    const HEADERS: &'static [&'static str] = &["PROGRAM", "CALL", "RAN"];
 
     fn cells(&self) -> Vec<String> {
         vec![self.program.to_string(), self.call.to_string(), self.ran.to_string()]
     }
 }
 
-/// A change of the replicas of a group.
+/// Result of a change of the replicas of a group.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct ReplicasRow {
-    /// The group.
+    /// Number of the group.
     pub group: u32,
-    /// What was done.
+    /// The membership change.
     pub change: ReplicaChange,
-    /// The node.
+    /// Number of the node.
     pub node: u64,
 }
 
 impl Row for ReplicasRow {
-    const HEADS: &'static [&'static str] = &["GROUP", "CHANGE", "NODE"];
+    const HEADERS: &'static [&'static str] = &["GROUP", "CHANGE", "NODE"];
 
     fn cells(&self) -> Vec<String> {
         vec![self.group.to_string(), format!("{:?}", self.change).to_lowercase(), self.node.to_string()]
--- a/agatetrestle_cli/src/table.rs
+++ b/agatetrestle_cli/src/table.rs
@@ -1,33 +1,33 @@
-//! Tables for people: heads, left-aligned columns two spaces apart, no lines.
+//! Plain-text tables with a header line and left-aligned columns.
 
-const GAP: &str = "  ";
+const COLUMN_SEPARATOR: &str = "  ";
 
-/// Something that is printed as one row.
+/// A type that is printed as one table row.
 pub trait Row {
-    /// Heads of the columns.
-    const HEADS: &'static [&'static str];
+    /// Column headers.
+    const HEADERS: &'static [&'static str];
 
-    /// The cells, as many as there are heads.
+    /// Returns one cell for each header.
     fn cells(&self) -> Vec<String>;
 }
 
-/// The rows under their heads; every line ends with a newline.
+/// Formats a header line and the rows; every line ends with a newline.
 #[must_use]
 pub fn table<R: Row>(rows: &[R]) -> String {
-    let heads = R::HEADS.iter().map(ToString::to_string).collect();
-    let lines: Vec<Vec<String>> = std::iter::once(heads).chain(rows.iter().map(Row::cells)).collect();
-    let widths: Vec<usize> = (0..R::HEADS.len()).map(|column| width(&lines, column)).collect();
-    lines.iter().map(|cells| line(cells, &widths)).collect()
+    let headers = R::HEADERS.iter().map(ToString::to_string).collect();
+    let lines: Vec<Vec<String>> = std::iter::once(headers).chain(rows.iter().map(Row::cells)).collect();
+    let widths: Vec<usize> = (0..R::HEADERS.len()).map(|column| column_width(&lines, column)).collect();
+    lines.iter().map(|cells| format_line(cells, &widths)).collect()
 }
 
-fn width(lines: &[Vec<String>], column: usize) -> usize {
+fn column_width(lines: &[Vec<String>], column: usize) -> usize {
     lines.iter().map(|cells| cells[column].chars().count()).max().unwrap_or(0)
 }
 
-fn line(cells: &[String], widths: &[usize]) -> String {
+fn format_line(cells: &[String], widths: &[usize]) -> String {
     let padded: Vec<String> =
         cells.iter().zip(widths).map(|(cell, width)| format!("{cell:width$}")).collect();
-    format!("{}\n", padded.join(GAP).trim_end())
+    format!("{}\n", padded.join(COLUMN_SEPARATOR).trim_end())
 }
 
 #[cfg(test)]
--- a/agatetrestle_cli/src/table/tests.rs
+++ b/agatetrestle_cli/src/table/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the tables.
+//! Tests of table formatting.
 
 use super::*;
 use crate::rows::DrainRow;
 
 #[test]
-fn columns_are_as_wide_as_their_widest_cell() {
+fn column_width_fits_widest_cell() {
     let rows = [
         DrainRow { name: "engine-with-a-long-name".into(), incarnation: 0 },
         DrainRow { name: "vm-é".into(), incarnation: 12 },
@@ -13,6 +13,6 @@
 }
 
 #[test]
-fn no_rows_leave_the_heads() {
+fn empty_table_prints_headers() {
     assert_eq!(table::<DrainRow>(&[]), "LEAVING  INCARNATION\n");
 }
--- a/agatetrestle_cli/tests/operator.rs
+++ b/agatetrestle_cli/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The tool against the RPC of nodes in the same process, over loopback.
+//! Tests of the tool against the RPC servers of nodes in the same process, over loopback.
 
 mod support;
 
@@ -34,10 +34,10 @@
 use futures::future::join_all;
 use smol::net::TcpStream;
 
-use crate::support::Mood;
-use crate::support::World;
+use crate::support::ControlBehavior;
+use crate::support::TestCluster;
 use crate::support::client;
-use crate::support::in_world;
+use crate::support::run_with_cluster;
 
 fn change(expected_version: u64, priority: usize) -> Change {
     let text = format!("format: 1\nclasses:\n  dawn: {{priority: {priority}, budget: 1000}}\n");
@@ -45,115 +45,124 @@
     Change { scope: "vrsta".into(), text: text.into(), expected_version, change_id }
 }
 
-fn documents_changed(world: &World) -> u64 {
-    world.control.0.borrow().configuration().revision
+fn control_revision(cluster: &TestCluster) -> u64 {
+    cluster.control.0.borrow().configuration().revision
 }
 
 #[test]
-fn of_racing_operators_with_equal_versions_exactly_one_wins() {
-    in_world(async |world| {
-        let nodes = [world.node(Mood::Well, 0).await, world.node(Mood::Well, 0).await];
+fn accepts_one_of_concurrent_operator_changes() {
+    run_with_cluster(async |cluster| {
+        let nodes = [
+            cluster.start_node(ControlBehavior::Healthy, 0).await,
+            cluster.start_node(ControlBehavior::Healthy, 0).await,
+        ];
         let clients = nodes.map(|node| client(&[node]));
         let changes: Vec<Change> = (0..8).map(|i| change(0, i)).collect();
-        let offers = changes.iter().enumerate().map(|(i, change)| apply(&clients[i % 2], change));
-        let results = join_all(offers).await;
+        let calls = changes.iter().enumerate().map(|(i, change)| apply(&clients[i % 2], change));
+        let results = join_all(calls).await;
         assert_eq!(results.iter().filter(|result| result.is_ok()).count(), 1);
-        for lost in results.into_iter().filter_map(Result::err) {
-            let ToolError::Conflict { current_version, difference, .. } = lost else {
-                panic!("{lost}");
+        for error in results.into_iter().filter_map(Result::err) {
+            let ToolError::Conflict { current_version, difference, .. } = error else {
+                panic!("{error}");
             };
             assert_eq!(current_version, 1);
             assert_eq!(difference.lines().count(), 2, "{difference}");
         }
-        assert_eq!(documents_changed(&world), 1);
+        assert_eq!(control_revision(&cluster), 1);
     });
 }
 
 #[test]
-fn a_resend_gives_the_first_result() {
-    in_world(async |world| {
-        let client = client(&[world.node(Mood::Well, 0).await]);
+fn returns_first_result_for_resent_change() {
+    run_with_cluster(async |cluster| {
+        let client = client(&[cluster.start_node(ControlBehavior::Healthy, 0).await]);
         let first = apply(&client, &change(0, 1)).await.unwrap();
         apply(&client, &change(1, 2)).await.unwrap();
         assert_eq!(apply(&client, &change(0, 1)).await.unwrap(), first);
-        assert_eq!(documents_changed(&world), 2);
+        assert_eq!(control_revision(&cluster), 2);
     });
 }
 
 #[test]
-fn a_lost_answer_is_asked_for_again_and_applied_once() {
-    in_world(async |world| {
-        let nodes = [world.node_that_loses_its_answer().await, world.node(Mood::Well, 0).await];
+fn applies_change_once_after_lost_answer() {
+    run_with_cluster(async |cluster| {
+        let nodes =
+            [cluster.start_node_losing_answer().await, cluster.start_node(ControlBehavior::Healthy, 0).await];
         let applied = apply(&client(&nodes), &change(0, 1)).await.unwrap();
         assert_eq!((applied.version, applied.revision), (1, 1));
-        assert_eq!(documents_changed(&world), 1);
+        assert_eq!(control_revision(&cluster), 1);
     });
 }
 
 #[test]
-fn an_answer_lost_for_good_is_unknown_and_a_rerun_settles_it() {
-    in_world(async |world| {
-        let alone = client(&[world.node_that_loses_its_answer().await]);
-        let lost = apply(&alone, &change(0, 1)).await.unwrap_err();
-        assert_eq!(lost.exit(), Exit::Unknown, "{lost}");
-        let rerun = apply(&client(&[world.node(Mood::Well, 0).await]), &change(0, 1)).await.unwrap();
+fn rerun_resolves_unknown_outcome() {
+    run_with_cluster(async |cluster| {
+        let failing = client(&[cluster.start_node_losing_answer().await]);
+        let error = apply(&failing, &change(0, 1)).await.unwrap_err();
+        assert_eq!(error.exit(), Exit::Unknown, "{error}");
+        let rerun = apply(&client(&[cluster.start_node(ControlBehavior::Healthy, 0).await]), &change(0, 1))
+            .await
+            .unwrap();
         assert_eq!(rerun.version, 1);
-        assert_eq!(documents_changed(&world), 1);
+        assert_eq!(control_revision(&cluster), 1);
     });
 }
 
 #[test]
-fn a_change_that_may_yet_be_applied_is_told_as_unknown() {
-    in_world(async |world| {
-        let nodes = [world.node(Mood::InDoubt, 0).await, world.node(Mood::NoQuorum, 0).await];
-        let lost = apply(&client(&nodes), &change(0, 1)).await.unwrap_err();
-        assert_eq!(lost.exit(), Exit::Unknown, "{lost}");
+fn reports_undecided_change_as_unknown() {
+    run_with_cluster(async |cluster| {
+        let nodes = [
+            cluster.start_node(ControlBehavior::OutcomeUnknown, 0).await,
+            cluster.start_node(ControlBehavior::NoQuorum, 0).await,
+        ];
+        let error = apply(&client(&nodes), &change(0, 1)).await.unwrap_err();
+        assert_eq!(error.exit(), Exit::Unknown, "{error}");
     });
 }
 
 #[test]
-fn a_node_without_a_quorum_is_passed_over() {
-    in_world(async |world| {
-        let isolated = world.node(Mood::NoQuorum, 0).await;
-        let refused = apply(&client(&[isolated]), &change(0, 1)).await.unwrap_err();
-        assert_eq!(refused.exit(), Exit::Unavailable, "{refused}");
-        let well = world.node(Mood::Well, 0).await;
-        assert_eq!(apply(&client(&[isolated, well]), &change(0, 1)).await.unwrap().version, 1);
+fn skips_node_without_quorum() {
+    run_with_cluster(async |cluster| {
+        let isolated = cluster.start_node(ControlBehavior::NoQuorum, 0).await;
+        let error = apply(&client(&[isolated]), &change(0, 1)).await.unwrap_err();
+        assert_eq!(error.exit(), Exit::Unavailable, "{error}");
+        let healthy = cluster.start_node(ControlBehavior::Healthy, 0).await;
+        assert_eq!(apply(&client(&[isolated, healthy]), &change(0, 1)).await.unwrap().version, 1);
     });
 }
 
 #[test]
-fn an_address_where_nobody_listens_is_passed_over() {
-    in_world(async |world| {
+fn skips_unreachable_address() {
+    run_with_cluster(async |cluster| {
         let unused = smol::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-        let well = world.node(Mood::Well, 0).await;
-        assert_eq!(apply(&client(&[unused, well]), &change(0, 1)).await.unwrap().version, 1);
-        let alone = apply(&client(&[unused]), &change(0, 1)).await.unwrap_err();
-        assert_eq!(alone.exit(), Exit::Unavailable, "{alone}");
+        let healthy = cluster.start_node(ControlBehavior::Healthy, 0).await;
+        assert_eq!(apply(&client(&[unused, healthy]), &change(0, 1)).await.unwrap().version, 1);
+        let error = apply(&client(&[unused]), &change(0, 1)).await.unwrap_err();
+        assert_eq!(error.exit(), Exit::Unavailable, "{error}");
     });
 }
 
 #[test]
-fn a_document_that_breaks_the_rules_never_reaches_the_control_group() {
-    in_world(async |world| {
-        let client = client(&[world.node(Mood::Well, 0).await]);
-        let wrong = Change { text: "format: 1\nclases: {}\n".into(), ..change(0, 1) };
-        let refused = apply(&client, &wrong).await.unwrap_err();
-        assert_eq!(refused.exit(), Exit::Invalid);
-        assert!(refused.to_string().contains("clases"), "{refused}");
-        assert_eq!(documents_changed(&world), 0);
+fn rejects_invalid_document_before_commit() {
+    run_with_cluster(async |cluster| {
+        let client = client(&[cluster.start_node(ControlBehavior::Healthy, 0).await]);
+        let invalid = Change { text: "format: 1\nclases: {}\n".into(), ..change(0, 1) };
+        let error = apply(&client, &invalid).await.unwrap_err();
+        assert_eq!(error.exit(), Exit::Invalid);
+        assert!(error.to_string().contains("clases"), "{error}");
+        assert_eq!(control_revision(&cluster), 0);
     });
 }
 
 #[test]
-fn a_change_id_can_not_be_used_for_another_text() {
-    in_world(async |world| {
-        let client = client(&[world.node(Mood::Well, 0).await]);
+fn rejects_change_id_reused_for_other_text() {
+    run_with_cluster(async |cluster| {
+        let client = client(&[cluster.start_node(ControlBehavior::Healthy, 0).await]);
         let first = change(0, 1);
         apply(&client, &first).await.unwrap();
         let second = Change { change_id: first.change_id, ..change(1, 2) };
         assert_eq!(apply(&client, &second).await.unwrap_err().exit(), Exit::Invalid);
-        assert_eq!(documents_changed(&world), 1);
+        assert_eq!(control_revision(&cluster), 1);
     });
 }
 
@@ -162,17 +171,17 @@
 }
 
 #[test]
-fn waiting_ends_once_every_node_that_stays_has_the_change() {
-    in_world(async |world| {
-        let client = client(&[world.node(Mood::Well, 2).await]);
+fn wait_ends_when_remaining_nodes_are_current() {
+    run_with_cluster(async |cluster| {
+        let client = client(&[cluster.start_node(ControlBehavior::Healthy, 2).await]);
         wait(&client, &applied(9), Duration::from_hours(24)).await.unwrap();
     });
 }
 
 #[test]
-fn waiting_names_the_nodes_that_lag() {
-    in_world(async |world| {
-        let client = client(&[world.node(Mood::Well, u32::MAX).await]);
+fn wait_names_lagging_nodes() {
+    run_with_cluster(async |cluster| {
+        let client = client(&[cluster.start_node(ControlBehavior::Healthy, u32::MAX).await]);
         let error = wait(&client, &applied(9), Duration::ZERO).await.unwrap_err();
         assert_eq!(error.exit(), Exit::Lagging);
         insta::assert_snapshot!(error);
@@ -180,18 +189,18 @@
 }
 
 #[test]
-fn a_message_beyond_the_bound_closes_the_connection() {
-    in_world(async |world| {
-        let client = client(&[world.node(Mood::Well, 0).await]);
-        let huge = "#".repeat(agatetrestle::operator::MAX_MESSAGE_BYTES + 1);
-        let refused = apply(&client, &Change { text: huge.into(), ..change(0, 1) }).await.unwrap_err();
-        assert_eq!(refused.exit(), Exit::Unknown, "{refused}");
-        assert_eq!(documents_changed(&world), 0);
+fn closes_connection_on_oversized_message() {
+    run_with_cluster(async |cluster| {
+        let client = client(&[cluster.start_node(ControlBehavior::Healthy, 0).await]);
+        let oversized = "#".repeat(agatetrestle::operator::MAX_MESSAGE_BYTES + 1);
+        let error = apply(&client, &Change { text: oversized.into(), ..change(0, 1) }).await.unwrap_err();
+        assert_eq!(error.exit(), Exit::Unknown, "{error}");
+        assert_eq!(control_revision(&cluster), 0);
         assert_eq!(apply(&client, &change(0, 1)).await.unwrap().version, 1);
     });
 }
 
-/// Sends bytes as they are and returns once the node has closed the connection.
+/// Sends raw bytes and returns when the node has closed the connection.
 async fn send_raw(node: SocketAddr, bytes: &[u8]) {
     let mut stream = TcpStream::connect(node).await.unwrap();
     stream.write_all(bytes).await.ok();
@@ -200,11 +209,11 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_close_only_their_own_connection() {
-    in_world(async |world| {
-        let node = world.node(Mood::Well, 0).await;
+fn malformed_bytes_close_only_their_connection() {
+    run_with_cluster(async |cluster| {
+        let node = cluster.start_node(ControlBehavior::Healthy, 0).await;
         send_raw(node, &[0xff; 64]).await;
-        // A header that announces 512 segments, and one that announces a segment of 16 GiB.
+        // Message headers with 512 segments and with a segment of 16 GiB.
         send_raw(node, &[0xff, 0x01, 0, 0, 1, 0, 0, 0]).await;
         send_raw(node, &[0, 0, 0, 0, 0, 0, 0, 0x80]).await;
         send_raw(node, b"GET /metrics HTTP/1.1\r\nHost: node\r\n\r\n").await;
@@ -213,22 +222,22 @@
 }
 
 #[test]
-fn connections_beyond_the_bound_are_closed_at_once() {
-    in_world(async |world| {
-        let node = world.node(Mood::Well, 0).await;
+fn closes_connections_beyond_limit() {
+    run_with_cluster(async |cluster| {
+        let node = cluster.start_node(ControlBehavior::Healthy, 0).await;
         let mut open = Vec::new();
         for _ in 0..MAX_CONNECTIONS {
             open.push(TcpStream::connect(node).await.unwrap());
         }
         send_raw(node, &[]).await;
-        let refused = apply(&client(&[node]), &change(0, 1)).await.unwrap_err();
-        assert!(matches!(refused.exit(), Exit::Unavailable | Exit::Unknown), "{refused}");
-        assert_eq!(documents_changed(&world), 0);
+        let error = apply(&client(&[node]), &change(0, 1)).await.unwrap_err();
+        assert!(matches!(error.exit(), Exit::Unavailable | Exit::Unknown), "{error}");
+        assert_eq!(control_revision(&cluster), 0);
     });
 }
 
-fn open_programs(world: &World) {
-    let mut ledger = world.ledger.0.borrow_mut();
+fn open_programs(cluster: &TestCluster) {
+    let mut ledger = cluster.ledger.0.borrow_mut();
     for (name, at) in [("dawn-1", 10), ("dawn-2", 20)] {
         let spec = ProgramSpec {
             team: "dispatch".into(),
@@ -302,29 +311,29 @@
     ]
 }
 
-fn snapshot(format: Format, name: &str) {
-    in_world(async |world| {
-        open_programs(&world);
-        let node = world.node(Mood::Well, 0).await;
+fn assert_output(format: Format, name: &str) {
+    run_with_cluster(async |cluster| {
+        open_programs(&cluster);
+        let node = cluster.start_node(ControlBehavior::Healthy, 0).await;
         let client = client(&[node]);
-        let mut told = Vec::new();
+        let mut sections = Vec::new();
         for command in commands() {
             let report = run_with(&client, format, &command).await;
-            let head = format!("{command:?}").split([' ', '(']).next().unwrap().to_owned();
+            let command_name = format!("{command:?}").split([' ', '(']).next().unwrap().to_owned();
             let exit = report.exit as u8;
-            told.push(format!("== {head}: exit {exit}\n{}{}", report.out, report.err));
+            sections.push(format!("== {command_name}: exit {exit}\n{}{}", report.stdout, report.stderr));
         }
-        let told = told.join("\n").replace(&node.to_string(), "IP:PORT");
-        insta::assert_snapshot!(name, told);
+        let output = sections.join("\n").replace(&node.to_string(), "IP:PORT");
+        insta::assert_snapshot!(name, output);
     });
 }
 
 #[test]
-fn every_command_tells_people_in_tables() {
-    snapshot(Format::Table, "tables");
+fn prints_every_command_as_table() {
+    assert_output(Format::Table, "tables");
 }
 
 #[test]
-fn every_command_tells_programs_in_json() {
-    snapshot(Format::Json, "json");
+fn prints_every_command_as_json() {
+    assert_output(Format::Json, "json");
 }
--- a/agatetrestle_cli/tests/support/mod.rs
+++ b/agatetrestle_cli/tests/support/mod.rs
@@ -1,5 +1,4 @@
-//! Small fakes of the ports behind the operators' RPC. The state machines behind them are the real
-//! ones; only replication is left out.
+//! Fakes of the ports behind the operators' RPC, with the real state machines but without replication.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -47,36 +46,38 @@
 use smol::net::TcpListener;
 use smol::net::TcpStream;
 
-/// How a fake answers changes.
+/// How the control group of a node answers changes.
 #[derive(Clone)]
-pub enum Mood {
-    /// As it should.
-    Well,
-    /// Without a quorum.
+pub enum ControlBehavior {
+    /// Applies the change and answers.
+    Healthy,
+    /// Rejects the change for lack of a quorum.
     NoQuorum,
-    /// With a quorum lost after the proposal; nothing was applied.
-    InDoubt,
-    /// It applies the change, tells this channel and never answers.
-    Silent(Sender<()>),
+    /// Loses its quorum after the proposal; the change is not applied.
+    OutcomeUnknown,
+    /// Applies the change, notifies this channel and never answers.
+    NeverAnswers(Sender<()>),
 }
 
-/// The control group, shared by all nodes of a test.
+/// Control state, shared by all nodes of a test.
 #[derive(Default)]
 pub struct SharedControl(pub RefCell<ControlState>);
 
 struct FakeControl {
     shared: Rc<SharedControl>,
-    mood: Mood,
+    behavior: ControlBehavior,
 }
 
 impl Control for FakeControl {
     fn commit(&self, command: ControlCommand) -> LocalBoxFuture<'_, Result<ControlReply, GroupError>> {
         async move {
-            match &self.mood {
-                Mood::Well => Ok(self.shared.0.borrow_mut().execute(command)),
-                Mood::NoQuorum => Err(GroupError::NotProposed { reason: "no leader".into() }),
-                Mood::InDoubt => Err(GroupError::Unknown { reason: "the leader is gone".into() }),
-                Mood::Silent(applied) => {
+            match &self.behavior {
+                ControlBehavior::Healthy => Ok(self.shared.0.borrow_mut().execute(command)),
+                ControlBehavior::NoQuorum => Err(GroupError::NotProposed { reason: "no leader".into() }),
+                ControlBehavior::OutcomeUnknown => {
+                    Err(GroupError::Unknown { reason: "the leader is gone".into() })
+                }
+                ControlBehavior::NeverAnswers(applied) => {
                     self.shared.0.borrow_mut().execute(command);
                     applied.send(()).await.unwrap();
                     std::future::pending().await
@@ -91,23 +92,23 @@
     }
 
     fn taking_work(&self) -> Result<(), NotTakingWork> {
-        match self.mood {
-            Mood::NoQuorum => Err(NotTakingWork::Isolated),
+        match self.behavior {
+            ControlBehavior::NoQuorum => Err(NotTakingWork::Isolated),
             _ => Ok(()),
         }
     }
 }
 
-/// Members of which one confirms a revision only when it has been looked at a few times.
+/// Members of which node 2 confirms the revision after a number of reads.
 struct FakeMembers {
-    looks_until_current: Cell<u32>,
+    reads_until_current: Cell<u32>,
 }
 
 impl Members for FakeMembers {
     fn members(&self) -> Vec<MemberView> {
-        let left = self.looks_until_current.get();
-        self.looks_until_current.set(left.saturating_sub(1));
-        let revision = if left == 0 { 9 } else { 0 };
+        let remaining = self.reads_until_current.get();
+        self.reads_until_current.set(remaining.saturating_sub(1));
+        let revision = if remaining == 0 { 9 } else { 0 };
         vec![member(1, "live", 9), member(2, "live", revision), member(3, "leaving", 0)]
     }
 
@@ -130,7 +131,7 @@
     }
 }
 
-/// The ledger, shared by all nodes of a test.
+/// Ledger state, shared by all nodes of a test.
 #[derive(Default)]
 pub struct SharedLedger(pub RefCell<LedgerState>);
 
@@ -193,19 +194,19 @@
     }
 }
 
-/// Nodes in this process that share one control group and one ledger.
-pub struct World {
+/// Nodes in one process that share the control state and ledger.
+pub struct TestCluster {
     pub control: Rc<SharedControl>,
     pub ledger: Rc<SharedLedger>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
-impl World {
-    /// Starts a node and returns its address for operators.
-    pub async fn node(&self, mood: Mood, looks_until_current: u32) -> SocketAddr {
+impl TestCluster {
+    /// Starts a node and returns its operator address.
+    pub async fn start_node(&self, behavior: ControlBehavior, reads_until_current: u32) -> SocketAddr {
         let server = OperatorServer {
-            control: Rc::new(FakeControl { shared: Rc::clone(&self.control), mood }),
-            members: Rc::new(FakeMembers { looks_until_current: Cell::new(looks_until_current) }),
+            control: Rc::new(FakeControl { shared: Rc::clone(&self.control), behavior }),
+            members: Rc::new(FakeMembers { reads_until_current: Cell::new(reads_until_current) }),
             ledger: Rc::clone(&self.ledger) as Rc<dyn Ledger>,
             backends: Rc::new(FakeBackends),
             groups: Rc::new(FakeGroups),
@@ -219,10 +220,10 @@
         address
     }
 
-    /// Starts a node that applies one change and whose connection is cut before it answers.
-    pub async fn node_that_loses_its_answer(&self) -> SocketAddr {
+    /// Starts a node that applies one change but whose connection closes before the answer.
+    pub async fn start_node_losing_answer(&self) -> SocketAddr {
         let (applied, signal) = smol::channel::bounded(1);
-        let node = self.node(Mood::Silent(applied), 0).await;
+        let node = self.start_node(ControlBehavior::NeverAnswers(applied), 0).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         self.executor.spawn(forward_until(signal, listener, node)).detach();
@@ -230,30 +231,31 @@
     }
 }
 
-/// Forwards one connection until the signal comes, then closes it and takes no other.
+/// Forwards one connection until the signal, then closes it and accepts no other.
 async fn forward_until(signal: Receiver<()>, listener: TcpListener, node: SocketAddr) {
-    let (tool, _) = listener.accept().await.unwrap();
+    let (client, _) = listener.accept().await.unwrap();
     let node = TcpStream::connect(node).await.unwrap();
-    let there = io::copy(tool.clone(), node.clone());
-    let back = io::copy(node, tool);
+    let requests = io::copy(client.clone(), node.clone());
+    let responses = io::copy(node, client);
     let forward = async {
-        futures::future::join(there, back).await.0.ok();
+        futures::future::join(requests, responses).await.0.ok();
     };
-    let cut = async {
+    let closed = async {
         signal.recv().await.ok();
     };
-    forward.or(cut).await;
+    forward.or(closed).await;
 }
 
-/// Runs a test with a world of its own.
-pub fn in_world<F: Future<Output = ()>>(test: impl FnOnce(Rc<World>) -> F) {
+/// Runs a test with its own cluster.
+pub fn run_with_cluster<F: Future<Output = ()>>(test: impl FnOnce(Rc<TestCluster>) -> F) {
     let executor = Rc::new(LocalExecutor::new());
-    let world = World { control: Rc::default(), ledger: Rc::default(), executor: Rc::clone(&executor) };
-    smol::block_on(executor.run(test(Rc::new(world))));
+    let cluster =
+        TestCluster { control: Rc::default(), ledger: Rc::default(), executor: Rc::clone(&executor) };
+    smol::block_on(executor.run(test(Rc::new(cluster))));
 }
 
-/// A client that never gives up by time, so that no verdict depends on the speed of the machine.
+/// Creates a client with timeouts that no test reaches, so that results don't depend on the speed of the machine.
 pub fn client(addresses: &[SocketAddr]) -> Client {
     let day = Duration::from_hours(24);
-    Client { addresses: addresses.to_vec(), connect_time: day, answer_time: day }
+    Client { addresses: addresses.to_vec(), connect_timeout: day, answer_timeout: day }
 }
