--- a/agatetrestle_replay/src/cache.rs
+++ b/agatetrestle_replay/src/cache.rs
@@ -1,21 +1,21 @@
-//! The prefix cache of a fake engine: blocks under least-recently-used eviction.
+//! Prefix cache of a simulated engine with least-recently-used eviction.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-use crate::host::Exported;
+use crate::host::ExportedBlock;
 
-/// Tokens by what became of them.
+/// Cumulative block counts of a prefix cache.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct CacheCounts {
-    /// Blocks that entered the cache.
+    /// Blocks inserted, without imported ones.
     pub inserted: u64,
-    /// Blocks that left it, or whose program ended, without having been read.
+    /// Blocks evicted or released without a hit.
     pub unread: u64,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct CacheEntry {
     tick: u64,
     pins: u32,
     read: bool,
@@ -23,18 +23,18 @@
     shared: bool,
 }
 
-/// Blocks in an engine's memory. A block in use by a running request is pinned.
+/// Cache blocks in engine memory. Blocks of running requests are pinned.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity: usize,
-    entries: HashMap<u64, Entry>,
+    entries: HashMap<u64, CacheEntry>,
     unpinned: BTreeMap<u64, u64>,
     tick: u64,
     counts: CacheCounts,
 }
 
 impl PrefixCache {
-    /// An empty cache for so many blocks.
+    /// Creates an empty cache for `capacity` blocks.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -46,49 +46,49 @@
         }
     }
 
-    /// Counts so far; blocks still held and never read are not among them.
+    /// The counts so far, without the unread blocks that are still cached.
     #[must_use]
     pub fn counts(&self) -> CacheCounts {
         self.counts
     }
 
-    /// Blocks held now that were never read.
+    /// Counts cached blocks that were never read.
     #[must_use]
-    pub fn unread_held(&self) -> u64 {
+    pub fn unread_resident(&self) -> u64 {
         self.entries.values().map(|entry| u64::from(!entry.read)).sum()
     }
 
-    /// Blocks held that belong to a program alone.
+    /// Counts cached blocks that only this program has used.
     #[must_use]
-    pub fn held_alone(&self, owner: u32) -> usize {
+    pub fn exclusive_blocks(&self, owner: u32) -> usize {
         self.entries.values().filter(|entry| entry.owner == owner && !entry.shared).count()
     }
 
-    /// How many leading blocks of a prompt are held.
+    /// Counts the leading blocks of a prompt that are cached.
     #[must_use]
-    pub fn matching(&self, blocks: &[u64]) -> usize {
+    pub fn prefix_len(&self, blocks: &[u64]) -> usize {
         blocks.iter().take_while(|block| self.entries.contains_key(block)).count()
     }
 
-    /// Whether so many further blocks fit if everything unpinned goes, beside `blocks` that stay.
+    /// Whether `needed` more blocks fit after evicting all unpinned blocks except the cached prefix of `blocks`.
     #[must_use]
-    pub fn fits(&self, blocks: &[u64], further: usize) -> bool {
+    pub fn fits(&self, blocks: &[u64], needed: usize) -> bool {
         let pinned = self.entries.len() - self.unpinned.len();
-        let kept = self.matching(blocks);
-        let kept_unpinned = blocks[..kept].iter().filter(|block| self.entries[block].pins == 0).count();
-        pinned + kept_unpinned + further <= self.capacity
+        let prefix = self.prefix_len(blocks);
+        let unpinned_prefix = blocks[..prefix].iter().filter(|block| self.entries[block].pins == 0).count();
+        pinned + unpinned_prefix + needed <= self.capacity
     }
 
-    /// Whether nothing is pinned, so that a request too large for the cache must be let through.
+    /// Whether no block is pinned.
     #[must_use]
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.unpinned.len() == self.entries.len()
     }
 
-    /// Reads and pins the leading blocks that are held; returns how many.
+    /// Marks the cached prefix as read, pins it and returns its length in blocks.
     pub fn pin_prefix(&mut self, blocks: &[u64], owner: u32) -> usize {
-        let held = self.matching(blocks);
-        for block in &blocks[..held] {
+        let cached = self.prefix_len(blocks);
+        for block in &blocks[..cached] {
             let Some(entry) = self.entries.get_mut(block) else {
                 continue;
             };
@@ -99,11 +99,10 @@
             }
             entry.pins += 1;
         }
-        held
+        cached
     }
 
-    /// Inserts and pins blocks; returns those evicted for them. Imported blocks were counted when
-    /// they were first computed.
+    /// Inserts and pins blocks; returns those evicted for them. Imported blocks are not counted as inserted again.
     pub fn insert_pinned(&mut self, blocks: &[u64], owner: u32, imported: &[u64]) -> Vec<u64> {
         let mut evicted = Vec::new();
         for block in blocks {
@@ -120,13 +119,13 @@
             }
             let read = imported.contains(block);
             self.counts.inserted += u64::from(!read);
-            let entry = Entry { tick: 0, pins: 1, read, owner, shared: false };
+            let entry = CacheEntry { tick: 0, pins: 1, read, owner, shared: false };
             self.entries.insert(*block, entry);
         }
         evicted
     }
 
-    /// Unpins blocks, the deepest first, so that a prefix outlives what hangs on it.
+    /// Unpins blocks, the last first, so that a prefix is evicted after the blocks that follow it.
     pub fn unpin(&mut self, blocks: &[u64]) {
         for block in blocks.iter().rev() {
             let Some(entry) = self.entries.get_mut(block) else {
@@ -141,12 +140,13 @@
         }
     }
 
-    /// Drops the unpinned blocks that only this program used; returns them.
+    /// Drops and returns the unpinned blocks that only this program used.
     pub fn release(&mut self, blocks: &[u64], owner: u32) -> Vec<u64> {
         let mut released = Vec::new();
         for block in blocks {
-            let alone = self.entries.get(block).is_some_and(|e| e.pins == 0 && e.owner == owner && !e.shared);
-            if alone {
+            let exclusive =
+                self.entries.get(block).is_some_and(|e| e.pins == 0 && e.owner == owner && !e.shared);
+            if exclusive {
                 self.remove(*block);
                 released.push(*block);
             }
@@ -154,8 +154,8 @@
         released
     }
 
-    /// Moves out the unpinned blocks that only this program used.
-    pub fn export(&mut self, blocks: &[u64], owner: u32) -> Vec<Exported> {
+    /// Removes the unpinned blocks that only this program used and returns them for export.
+    pub fn export(&mut self, blocks: &[u64], owner: u32) -> Vec<ExportedBlock> {
         let mut exported = Vec::new();
         for block in blocks {
             let Some(entry) = self.entries.get(block) else {
@@ -164,16 +164,16 @@
             if entry.pins > 0 || entry.owner != owner || entry.shared {
                 continue;
             }
-            exported.push(Exported { block: *block, read: entry.read });
+            exported.push(ExportedBlock { block: *block, read: entry.read });
             self.unpinned.remove(&entry.tick);
             self.entries.remove(block);
         }
         exported
     }
 
-    /// Loses everything, as an engine does that restarts.
+    /// Drops all blocks, as on an engine restart.
     pub fn clear(&mut self) {
-        self.counts.unread += self.unread_held();
+        self.counts.unread += self.unread_resident();
         self.entries.clear();
         self.unpinned.clear();
     }
--- a/agatetrestle_replay/src/detect.rs
+++ b/agatetrestle_replay/src/detect.rs
@@ -1,8 +1,8 @@
-//! Detectors of failing backend servers at an equal rate of false ejections.
+//! Compares outlier detectors for backend servers at an equal rate of false ejections.
 //!
-//! Calls differ in how likely they fail; the size decides. Each detector's threshold is set on even
-//! seeds so that a healthy server is ejected as often as the target says, and odd seeds then show how
-//! many calls a server serves after it has begun to fail before it is ejected.
+//! Calls differ in their baseline failure failure rate. The threshold of each detector is calibrated on even seeds to a
+//! target rate of ejecting a healthy server. Odd seeds then give the number of calls that a failing server receives
+//! before it is ejected.
 
 use std::fmt::Write;
 
@@ -14,117 +14,122 @@
 use crate::random::Random;
 
 const HEALTHY_CALLS: u32 = 400_000;
-const RUNS: u64 = 201;
-const GIVE_UP: u32 = 20_000;
-const STEPS: u32 = 24;
+const SEEDS_PER_MODE: u64 = 201;
+const MAX_DELAY_CALLS: u32 = 20_000;
+const BISECTION_STEPS: u32 = 24;
 const AVERAGE_WEIGHT: f64 = 0.05;
 const ODDS_RATIO: f64 = 4.0;
-const CALL_RISKS: [(f64, f64); 4] = [(0.55, 0.002), (0.3, 0.008), (0.1, 0.03), (0.05, 0.08)];
+const CALL_FAILURE_RATES: [(f64, f64); 4] = [(0.55, 0.002), (0.3, 0.008), (0.1, 0.03), (0.05, 0.08)];
 
-/// What a failing server does.
+/// How a failing server raises the failure rate of its calls.
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
+struct FailureMode {
     name: &'static str,
     odds: f64,
     floor: f64,
 }
 
-const TROUBLES: [Trouble; 5] = [
-    Trouble { name: "odds of failure x3", odds: 3.0, floor: 0.0 },
-    Trouble { name: "odds of failure x6", odds: 6.0, floor: 0.0 },
-    Trouble { name: "a tenth of calls fail", odds: 1.0, floor: 0.1 },
-    Trouble { name: "half of calls fail", odds: 1.0, floor: 0.5 },
-    Trouble { name: "all calls fail", odds: 1.0, floor: 1.0 },
+const FAILURE_MODES: [FailureMode; 5] = [
+    FailureMode { name: "odds of failure x3", odds: 3.0, floor: 0.0 },
+    FailureMode { name: "odds of failure x6", odds: 6.0, floor: 0.0 },
+    FailureMode { name: "a tenth of calls fail", odds: 1.0, floor: 0.1 },
+    FailureMode { name: "half of calls fail", odds: 1.0, floor: 0.5 },
+    FailureMode { name: "all calls fail", odds: 1.0, floor: 1.0 },
 ];
 
-type Make = fn(f64) -> Box<dyn OutlierDetector>;
+type MakeDetector = fn(f64) -> Box<dyn OutlierDetector>;
 
-const DETECTORS: [(&str, Make, f64, f64); 3] = [
-    ("consecutive", |limit| Box::new(ConsecutiveFailures::new(crate::random::whole(limit))), 1.0, 40.0),
+const DETECTORS: [(&str, MakeDetector, f64, f64); 3] = [
+    (
+        "consecutive",
+        |limit| Box::new(ConsecutiveFailures::new(crate::random::floor_to_u32(limit))),
+        1.0,
+        40.0,
+    ),
     ("moving average", |limit| Box::new(MovingAverage::new(AVERAGE_WEIGHT, limit)), 0.01, 0.99),
     ("sequential", |limit| Box::new(SequentialTest::with_threshold(ODDS_RATIO, limit)), 0.5, 20.0),
 ];
 
-fn risk(rng: &mut Random) -> f64 {
-    let mut dice = rng.unit();
-    for (share, risk) in CALL_RISKS {
-        if dice < share {
-            return risk;
+fn draw_failure_rate(rng: &mut Random) -> f64 {
+    let mut draw = rng.next_f64();
+    for (share, expected_rate) in CALL_FAILURE_RATES {
+        if draw < share {
+            return expected_rate;
         }
-        dice -= share;
+        draw -= share;
     }
-    CALL_RISKS[0].1
+    CALL_FAILURE_RATES[0].1
 }
 
-/// False ejections of a healthy server in [`HEALTHY_CALLS`].
-fn false_ejections(make: Make, limit: f64, seed: u64) -> u32 {
+/// Counts the ejections of a healthy server in [`HEALTHY_CALLS`].
+fn false_ejections(make: MakeDetector, limit: f64, seed: u64) -> u32 {
     let mut rng = Random::new(seed, 3);
-    let mut watch = make(limit);
+    let mut detector = make(limit);
     let mut ejected = 0;
     for _ in 0..HEALTHY_CALLS {
-        let risk = risk(&mut rng);
-        watch.record(rng.happens(risk), risk);
-        if watch.should_eject() {
+        let expected_rate = draw_failure_rate(&mut rng);
+        detector.record(rng.bernoulli(expected_rate), expected_rate);
+        if detector.should_eject() {
             ejected += 1;
-            watch = make(limit);
+            detector = make(limit);
         }
     }
     ejected
 }
 
-/// The least limit at which a healthy server is ejected at most so often in 100,000 calls.
-fn calibrate(make: Make, low: f64, high: f64, per_hundred_thousand: u32) -> f64 {
+/// Finds the lowest limit with at most `per_hundred_thousand` false ejections in 100,000 calls of a healthy server.
+fn calibrate(make: MakeDetector, low: f64, high: f64, per_hundred_thousand: u32) -> f64 {
     let allowed = per_hundred_thousand * (HEALTHY_CALLS / 100_000) * 4;
     let (mut low, mut high) = (low, high);
-    for _ in 0..STEPS {
-        let middle = f64::midpoint(low, high);
-        let ejected: u32 = [2, 4, 6, 8].iter().map(|seed| false_ejections(make, middle, *seed)).sum();
+    for _ in 0..BISECTION_STEPS {
+        let limit = f64::midpoint(low, high);
+        let ejected: u32 = [2, 4, 6, 8].iter().map(|seed| false_ejections(make, limit, *seed)).sum();
         if ejected > allowed {
-            low = middle;
+            low = limit;
         } else {
-            high = middle;
+            high = limit;
         }
     }
     high
 }
 
-/// Calls until a failing server is ejected.
-fn delay(make: Make, limit: f64, trouble: Trouble, seed: u64) -> u32 {
+/// Counts the calls until a failing server is ejected, at most [`MAX_DELAY_CALLS`].
+fn detection_delay(make: MakeDetector, limit: f64, mode: FailureMode, seed: u64) -> u32 {
     let mut rng = Random::new(seed, 4);
-    let mut watch = make(limit);
+    let mut detector = make(limit);
     for _ in 0..1_000 {
-        let risk = risk(&mut rng);
-        watch.record(rng.happens(risk), risk);
+        let expected_rate = draw_failure_rate(&mut rng);
+        detector.record(rng.bernoulli(expected_rate), expected_rate);
     }
-    for call in 1..=GIVE_UP {
-        let risk = risk(&mut rng);
-        let odds = trouble.odds * risk / (1.0 - risk);
-        let failing = (odds / (1.0 + odds)).max(trouble.floor);
-        watch.record(rng.happens(failing), risk);
-        if watch.should_eject() {
+    for call in 1..=MAX_DELAY_CALLS {
+        let expected_rate = draw_failure_rate(&mut rng);
+        let odds = mode.odds * expected_rate / (1.0 - expected_rate);
+        let failure_rate = (odds / (1.0 + odds)).max(mode.floor);
+        detector.record(rng.bernoulli(failure_rate), expected_rate);
+        if detector.should_eject() {
             return call;
         }
     }
-    GIVE_UP
+    MAX_DELAY_CALLS
 }
 
-/// Writes the table of median and 95th percentile delays.
+/// Formats the median and 95th percentile detection delay of each detector and failure mode.
 #[must_use]
 pub fn table(per_hundred_thousand: u32) -> String {
     let mut text = String::new();
     for (name, make, low, high) in DETECTORS {
         let limit = calibrate(make, low, high, per_hundred_thousand);
-        let held: u32 = [1, 3, 5, 7].iter().map(|seed| false_ejections(make, limit, *seed)).sum();
-        let rate = held * 25 / (HEALTHY_CALLS / 100_000);
-        // Writing into a string can't fail.
+        let ejected: u32 = [1, 3, 5, 7].iter().map(|seed| false_ejections(make, limit, *seed)).sum();
+        let rate = ejected * 25 / (HEALTHY_CALLS / 100_000);
+        // Writing to a `String` can't fail.
         let _ = writeln!(text, "{name}: limit {limit:.3}, false ejections in 10,000,000 calls {rate}");
-        for trouble in TROUBLES {
+        for mode in FAILURE_MODES {
             let mut delays: Vec<u32> =
-                (0..RUNS).map(|run| delay(make, limit, trouble, 2 * run + 1)).collect();
+                (0..SEEDS_PER_MODE).map(|run| detection_delay(make, limit, mode, 2 * run + 1)).collect();
             delays.sort_unstable();
-            let middle = delays[delays.len() / 2];
-            let late = delays[delays.len() * 95 / 100];
-            let _ = writeln!(text, "  {:<24} p50 {middle:>6} p95 {late:>6} calls", trouble.name);
+            let p50 = delays[delays.len() / 2];
+            let p95 = delays[delays.len() * 95 / 100];
+            let _ = writeln!(text, "  {:<24} p50 {p50:>6} p95 {p95:>6} calls", mode.name);
         }
     }
     text
--- a/agatetrestle_replay/src/faults.rs
+++ b/agatetrestle_replay/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a replay, and when: JSON lines, one for each fault.
+//! Faults to inject into a replay, read from JSON lines.
 
 use std::sync::Arc;
 
@@ -7,71 +7,71 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// What goes wrong with one engine.
+/// A fault of one backend server.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum FaultKind {
-    /// Each step takes this many percent of the normal time; 100 mends it.
+    /// Scales the duration of each engine step; 100 restores it.
     Pace {
-        /// Percent of the normal time.
+        /// Percent of the normal duration.
         percent: u64,
     },
-    /// Loses everything and takes no connection.
+    /// Loses all requests and cached blocks and refuses connections.
     Die,
-    /// Is back after having died.
+    /// Accepts connections again after [`FaultKind::Die`].
     Recover,
-    /// Reports this share of its load, in percent; 100 mends it.
+    /// Reports a scaled load; 100 restores it.
     Lie {
         /// Percent of the true load.
         percent: u32,
     },
-    /// Loses this share of its cache events, in percent.
+    /// Loses a share of its cache events.
     DropEvents {
         /// Percent of the events.
         percent: u32,
     },
-    /// Fails this share of its calls, in percent; 0 mends it.
+    /// Fails a share of its calls; 0 restores it.
     Fail {
         /// Percent of the calls.
         percent: u32,
     },
-    /// Is about to leave; the list of VMs says so this much later.
+    /// Starts to leave and refuses new calls.
     Leave {
-        /// Lag of the list in microseconds.
+        /// Delay in microseconds until the list of VMs shows it.
         lag: u64,
     },
 }
 
-/// One fault.
+/// A fault with its time and target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Fault {
     /// Microseconds since the start of the trace.
     pub at: u64,
     /// Name of the backend server, such as `engine-3`.
     pub backend: Arc<str>,
-    /// What happens.
+    /// Kind of the fault.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// Why faults could not be read.
+/// Failure to parse a list of faults.
 #[derive(Debug, Snafu)]
 pub enum FaultError {
-    /// A line is no fault.
+    /// A line is not a valid fault.
     #[snafu(display("line {line}: {source}"))]
     FaultLine {
-        /// Number of the line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the parser expected.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
-/// Reads faults.
+/// Parses faults from JSON lines; empty lines are skipped.
 ///
 /// # Errors
 ///
-/// Fails at the first line that is no fault.
+/// Fails on the first invalid line.
 pub fn parse(text: &str) -> Result<Vec<Fault>, FaultError> {
     text.lines()
         .enumerate()
--- a/agatetrestle_replay/src/fleet.rs
+++ b/agatetrestle_replay/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fake backend servers of a replay and their present faults.
+//! The simulated backend servers and their active faults.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,104 +6,104 @@
 use agatetrestle::scheduler::event::Catalog;
 use agatetrestle_config::declarations::BackendKind;
 
-use crate::catalog::Pool;
-use crate::engine::Engine;
+use crate::catalog::PoolConfig;
+use crate::engine::SimEngine;
 use crate::faults::FaultKind;
 use crate::host::HostStore;
 
-const USUAL_EVENT_LOSS: u32 = 2;
+const EVENT_LOSS_PERCENT: u32 = 2;
 
-/// One fake backend server.
+/// A simulated backend server.
 #[derive(Debug)]
-pub struct Server {
-    /// Declared name.
+pub struct SimServer {
+    /// Name from the declarations.
     pub name: Arc<str>,
-    /// Its VM.
+    /// VM that it runs on.
     pub vm: Arc<str>,
-    /// The engine, if it is one.
-    pub engine: Option<Engine>,
-    /// Count of plans, so that a wake-up of an older plan is ignored.
-    pub plan: u64,
-    /// Whether it takes no connection.
+    /// The engine; services have none.
+    pub engine: Option<SimEngine>,
+    /// Incremented on each rescheduling, so that outdated wake-ups are ignored.
+    pub wake_generation: u64,
+    /// Whether it refuses connections.
     pub dead: bool,
-    /// Percent of the load that it reports.
-    pub honesty: u32,
+    /// Reported load in percent of the true load.
+    pub reported_load_percent: u32,
     /// Percent of cache events that are lost.
-    pub event_loss: u32,
+    pub event_loss_percent: u32,
     /// Percent of calls that fail.
-    pub failing: u32,
-    /// Since when it leaves.
-    pub leaving: Option<u64>,
-    /// When the scheduler was first told that it leaves.
-    pub sign: Option<u64>,
+    pub failure_percent: u32,
+    /// When it started to leave.
+    pub leaving_since: Option<u64>,
+    /// When the scheduler first learned that it is leaving.
+    pub leaving_noticed: Option<u64>,
 }
 
-/// All of them with the memory for exported cache.
+/// All simulated servers and the host memory for exported blocks.
 #[derive(Debug)]
-pub struct Fleet {
-    /// The servers in declared order.
-    pub servers: Vec<Server>,
-    /// Index by name.
+pub struct SimFleet {
+    /// The servers in the order of the catalog.
+    pub servers: Vec<SimServer>,
+    /// Position in `servers` by name.
     pub index: HashMap<Arc<str>, usize>,
-    /// Exported cache.
+    /// Host memory for exported cache blocks.
     pub host: HostStore,
 }
 
-impl Fleet {
-    /// Servers for a catalog, of which engines keep blocks of this size.
+impl SimFleet {
+    /// Creates the servers of a catalog; engines use blocks of `block_tokens`.
     #[must_use]
-    pub fn new(catalog: &Catalog, pool: &Pool, block_tokens: u32) -> Self {
+    pub fn new(catalog: &Catalog, pool: &PoolConfig, block_tokens: u32) -> Self {
         let blocks = |tokens: u32| usize::try_from(tokens / block_tokens.max(1)).unwrap_or_default();
         let mut servers = Vec::new();
-        let mut host = 0;
+        let mut host_blocks = 0;
         for backend in &catalog.backends {
             let engine = (backend.kind == BackendKind::Engine).then(|| {
-                host += blocks(pool.host_tokens);
+                host_blocks += blocks(pool.host_tokens);
                 let slots = usize::try_from(backend.slots).unwrap_or_default();
-                Engine::new(slots, blocks(pool.cache_tokens), block_tokens)
+                SimEngine::new(slots, blocks(pool.cache_tokens), block_tokens)
             });
-            servers.push(Server {
+            servers.push(SimServer {
                 name: backend.name.clone(),
                 vm: backend.vm.clone(),
                 engine,
-                plan: 0,
+                wake_generation: 0,
                 dead: false,
-                honesty: 100,
-                event_loss: USUAL_EVENT_LOSS,
-                failing: 0,
-                leaving: None,
-                sign: None,
+                reported_load_percent: 100,
+                event_loss_percent: EVENT_LOSS_PERCENT,
+                failure_percent: 0,
+                leaving_since: None,
+                leaving_noticed: None,
             });
         }
         let index = servers.iter().enumerate().map(|(at, s)| (s.name.clone(), at)).collect();
-        Self { servers, index, host: HostStore::new(host) }
+        Self { servers, index, host: HostStore::new(host_blocks) }
     }
 
-    /// Blocks of a program that engines hold for it alone.
+    /// Counts cached blocks on all engines that only this program uses.
     #[must_use]
-    pub fn held_alone(&self, program: u32) -> usize {
-        self.servers.iter().filter_map(|s| s.engine.as_ref()).map(|e| e.cache.held_alone(program)).sum()
+    pub fn exclusive_blocks(&self, program: u32) -> usize {
+        self.servers.iter().filter_map(|s| s.engine.as_ref()).map(|e| e.cache.exclusive_blocks(program)).sum()
     }
 
-    /// Brings a fault about; returns the calls that are lost by it.
-    pub fn strike(&mut self, server: usize, kind: FaultKind, now: u64) -> Vec<u64> {
+    /// Applies a fault and returns the calls that it aborts.
+    pub fn apply_fault(&mut self, server: usize, kind: FaultKind, now: u64) -> Vec<u64> {
         let server = &mut self.servers[server];
         match kind {
             FaultKind::Pace { percent } => {
                 if let Some(engine) = server.engine.as_mut() {
-                    engine.pace = percent.max(1);
+                    engine.pace_percent = percent.max(1);
                 }
             }
             FaultKind::Die => {
                 server.dead = true;
-                server.plan += 1;
-                return server.engine.as_mut().map(Engine::die).unwrap_or_default();
+                server.wake_generation += 1;
+                return server.engine.as_mut().map(SimEngine::crash).unwrap_or_default();
             }
             FaultKind::Recover => server.dead = false,
-            FaultKind::Lie { percent } => server.honesty = percent,
-            FaultKind::DropEvents { percent } => server.event_loss = percent,
-            FaultKind::Fail { percent } => server.failing = percent,
-            FaultKind::Leave { .. } => server.leaving = Some(now),
+            FaultKind::Lie { percent } => server.reported_load_percent = percent,
+            FaultKind::DropEvents { percent } => server.event_loss_percent = percent,
+            FaultKind::Fail { percent } => server.failure_percent = percent,
+            FaultKind::Leave { .. } => server.leaving_since = Some(now),
         }
         Vec::new()
     }
--- a/agatetrestle_replay/src/host.rs
+++ b/agatetrestle_replay/src/host.rs
@@ -1,19 +1,19 @@
-//! The memory beside the engines into which cache is exported and from which it is imported.
+//! Host memory to which engines export cache blocks and from which they import them.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// A block that left engine memory but not the machine.
+/// A block moved from engine memory to host memory.
 #[derive(Clone, Copy, Debug)]
-pub struct Exported {
+pub struct ExportedBlock {
     /// Hash of the block.
     pub block: u64,
-    /// Whether a request read it while it was in engine memory.
+    /// Whether a request hit the block while it was in engine memory.
     pub read: bool,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct HostEntry {
     tick: u64,
     read: bool,
     owner: u32,
@@ -24,28 +24,28 @@
 #[derive(Debug)]
 pub struct HostStore {
     capacity: usize,
-    entries: HashMap<u64, Entry>,
+    entries: HashMap<u64, HostEntry>,
     oldest: BTreeMap<u64, u64>,
     tick: u64,
     unread: u64,
 }
 
 impl HostStore {
-    /// An empty store for so many blocks.
+    /// Creates an empty store for `capacity` blocks.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self { capacity, entries: HashMap::new(), oldest: BTreeMap::new(), tick: 0, unread: 0 }
     }
 
-    /// Blocks that were dropped here, or are still here, without ever having been read.
+    /// Counts blocks that were never read, both stored and dropped ones.
     #[must_use]
     pub fn unread(&self) -> u64 {
         let held: u64 = self.entries.values().map(|entry| u64::from(!entry.read)).sum();
         self.unread + held
     }
 
-    /// Takes in blocks of a program, the deepest first, so that a prefix outlives what hangs on it.
-    pub fn store(&mut self, blocks: &[Exported], owner: u32) {
+    /// Stores blocks of a program, the last first, so that a prefix is evicted after the blocks that follow it.
+    pub fn store(&mut self, blocks: &[ExportedBlock], owner: u32) {
         for exported in blocks.iter().rev() {
             self.tick += 1;
             if let Some(entry) = self.entries.get_mut(&exported.block) {
@@ -63,12 +63,12 @@
                 self.drop_block(block);
             }
             self.oldest.insert(self.tick, exported.block);
-            let entry = Entry { tick: self.tick, read: exported.read, owner, shared: false };
+            let entry = HostEntry { tick: self.tick, read: exported.read, owner, shared: false };
             self.entries.insert(exported.block, entry);
         }
     }
 
-    /// Copies those blocks to an engine that are here; returns which.
+    /// Marks the stored ones among `blocks` as read and returns them.
     pub fn read(&mut self, blocks: &[u64], reader: u32) -> Vec<u64> {
         let mut found = Vec::new();
         for block in blocks {
@@ -81,7 +81,7 @@
         found
     }
 
-    /// Drops the blocks that only this program stored and read.
+    /// Drops the blocks that only this program has stored or read.
     pub fn discard(&mut self, blocks: &[u64], owner: u32) {
         for block in blocks {
             if self.entries.get(block).is_some_and(|entry| entry.owner == owner && !entry.shared) {
--- a/agatetrestle_replay/src/lib.rs
+++ b/agatetrestle_replay/src/lib.rs
@@ -1,24 +1,24 @@
-//! Replay of recorded traces in virtual time, with a small fake engine.
+//! Replays recorded traces in virtual time against simulated backend servers.
 //!
-//! The replay drives the very scheduler that serves in the daemon. Everything is decided by trace,
-//! policy and seed, so that the same command writes the same bytes; see docs/TRACE.md.
+//! The replay runs the same scheduler as the daemon. Its output is deterministic for a trace, policy and seed; see
+//! docs/TRACE.md.
 
-pub mod agenda;
 pub mod cache;
 pub mod catalog;
+pub mod counters;
 pub mod detect;
 pub mod engine;
+pub mod event_queue;
 pub mod faults;
 pub mod fleet;
 pub mod host;
-pub mod measure;
 pub mod programs;
 pub mod random;
 pub mod report;
 pub mod score;
+pub mod simulation;
+pub mod stats;
 pub mod synth;
-pub mod tally;
-pub mod world;
 
 use std::sync::Arc;
 
@@ -27,26 +27,26 @@
 use agatetrestle::scheduler::build;
 use agatetrestle::trace::TraceCall;
 
-use crate::measure::Measures;
-use crate::world::Options;
+use crate::simulation::ReplayOptions;
+use crate::stats::ReplayStats;
 
-/// Replays a trace under a policy.
+/// Replays a trace under a policy with the default scheduler settings.
 #[must_use]
-pub fn replay(calls: &[TraceCall], policy: Policy, options: &Options) -> Measures {
+pub fn replay(calls: &[TraceCall], policy: Policy, options: &ReplayOptions) -> ReplayStats {
     replay_with(calls, policy, &SchedulerConfig::default(), options)
 }
 
-/// Replays a trace under a policy with other constants than the usual ones.
+/// Replays a trace under a policy with the given scheduler settings.
 #[must_use]
 pub fn replay_with(
     calls: &[TraceCall],
     policy: Policy,
     cfg: &SchedulerConfig,
-    options: &Options,
-) -> Measures {
+    options: &ReplayOptions,
+) -> ReplayStats {
     let catalog = Arc::new(catalog::declare(calls, &options.pool));
-    let programs = programs::arrange(calls.to_vec());
+    let programs = programs::group_by_program(calls.to_vec());
     let mut scheduler = build(policy, cfg.clone(), options.seed);
-    let measures = world::run(&programs, &catalog, scheduler.as_mut(), options);
-    Measures { policy: policy.name().into(), ..measures }
+    let stats = simulation::run(&programs, &catalog, scheduler.as_mut(), options);
+    ReplayStats { policy: policy.name().into(), ..stats }
 }
--- a/agatetrestle_replay/src/main.rs
+++ b/agatetrestle_replay/src/main.rs
@@ -1,4 +1,4 @@
-//! Replays recorded traces against the decisions, or makes synthetic ones.
+//! Command line for replaying recorded traces and generating synthetic ones.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use agatetrestle::scheduler::SchedulerConfig;
 use agatetrestle::trace;
 use agatetrestle::trace::TraceError;
-use agatetrestle_replay::catalog::Pool;
+use agatetrestle_replay::catalog::PoolConfig;
 use agatetrestle_replay::detect;
 use agatetrestle_replay::faults;
 use agatetrestle_replay::faults::Fault;
@@ -17,11 +17,11 @@
 use agatetrestle_replay::replay;
 use agatetrestle_replay::report;
 use agatetrestle_replay::score;
-use agatetrestle_replay::score::Score;
+use agatetrestle_replay::score::ScoreOptions;
+use agatetrestle_replay::simulation::ReplayOptions;
 use agatetrestle_replay::synth;
-use agatetrestle_replay::synth::Synth;
+use agatetrestle_replay::synth::SynthOptions;
 use agatetrestle_replay::synth::Workload;
-use agatetrestle_replay::world::Options;
 use bpaf::Bpaf;
 use snafu::OptionExt;
 use snafu::ResultExt;
@@ -36,7 +36,7 @@
     /// Replays a trace under one policy.
     #[bpaf(command)]
     Run {
-        /// Trace in the form of docs/TRACE.md.
+        /// Trace in the format of docs/TRACE.md.
         #[bpaf(argument("FILE"))]
         trace: PathBuf,
         /// Name of the policy.
@@ -48,7 +48,7 @@
     /// Replays a trace under several policies side by side.
     #[bpaf(command)]
     Compare {
-        /// Trace in the form of docs/TRACE.md.
+        /// Trace in the format of docs/TRACE.md.
         #[bpaf(argument("FILE"))]
         trace: PathBuf,
         /// Name of a policy; may be repeated.
@@ -62,18 +62,18 @@
     Synth {
         #[bpaf(external)]
         shape: Shape,
-        /// Decides everything else.
+        /// Seed of all random choices.
         #[bpaf(argument("NUMBER"), fallback(1))]
         seed: u64,
     },
-    /// Compares detectors of failing backend servers at an equal rate of false ejections.
+    /// Compares outlier detectors for backend servers at an equal rate of false ejections.
     #[bpaf(command)]
     Detect {
-        /// False ejections in 100,000 calls of a healthy server.
+        /// False ejections per 100,000 calls of a healthy server.
         #[bpaf(argument("COUNT"), fallback(1))]
         rate: u32,
     },
-    /// Replays synthetic traces of several seeds under several policies and writes medians.
+    /// Replays synthetic traces of several seeds under several policies and prints medians.
     #[bpaf(command)]
     Score {
         #[bpaf(external)]
@@ -87,16 +87,16 @@
         /// Last seed.
         #[bpaf(argument("NUMBER"), fallback(20))]
         last: u64,
-        /// Distance between seeds; 2 takes the even or the odd ones.
+        /// Step between seeds; 2 selects only even or only odd ones.
         #[bpaf(argument("NUMBER"), fallback(1))]
         step: usize,
-        /// Threads.
+        /// Number of threads.
         #[bpaf(argument("COUNT"), fallback(4))]
         jobs: usize,
-        /// Constant of the decisions as `name=value`; may be repeated.
+        /// Scheduler setting as `name=value`; may be repeated.
         #[bpaf(argument("SETTING"))]
         set: Vec<Setting>,
-        /// Faults in the form of docs/TRACE.md.
+        /// Faults in the format of docs/TRACE.md.
         #[bpaf(argument("FILE"), optional)]
         faults: Option<PathBuf>,
     },
@@ -107,25 +107,25 @@
     /// `vrsta`, `lernwerk`, `shared`, `tenfold`, `tenfold_alone`, `runaway` or `runaway_alone`.
     #[bpaf(argument("NAME"))]
     workload: Workload,
-    /// Programs that are no sub-agents.
+    /// Number of root programs.
     #[bpaf(argument("COUNT"), fallback(1_000))]
     programs: u32,
-    /// Offered work in percent of what the engines can do.
+    /// Offered load in percent of the engines' capacity.
     #[bpaf(argument("PERCENT"), fallback(85))]
     load: u32,
-    /// Engines that the load is meant for.
+    /// Number of engines that the load refers to.
     #[bpaf(argument("COUNT"), fallback(8))]
     engines: u32,
 }
 
 impl Shape {
-    fn synth(&self, seed: u64) -> Synth {
+    fn synth(&self, seed: u64) -> SynthOptions {
         let Self { workload, programs, load, engines } = *self;
-        Synth { workload, programs, load, engines, seed }
+        SynthOptions { workload, programs, load, engines, seed }
     }
 }
 
-/// One constant of the decisions.
+/// A scheduler setting given as `name=value`.
 #[derive(Clone, Debug)]
 struct Setting {
     name: Arc<str>,
@@ -133,10 +133,10 @@
 }
 
 impl std::str::FromStr for Setting {
-    type Err = NoSetting;
+    type Err = MalformedSetting;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (name, value) = text.split_once('=').context(NoSettingSnafu { text })?;
+        let (name, value) = text.split_once('=').context(MalformedSettingSnafu { text })?;
         let value = serde_json::from_str(value).unwrap_or_else(|_| value.into());
         Ok(Self { name: name.into(), value })
     }
@@ -144,46 +144,46 @@
 
 #[derive(Debug, Snafu)]
 #[snafu(display("{text} is not of the form name=value"))]
-struct NoSetting {
+struct MalformedSetting {
     text: Arc<str>,
 }
 
 #[derive(Bpaf, Clone, Debug)]
 struct Common {
-    /// Seed of the fakes and of the policy.
+    /// Seed of the simulation and the policy.
     #[bpaf(argument("NUMBER"), fallback(1))]
     seed: u64,
     /// Engines for each model.
     #[bpaf(argument("COUNT"), fallback(DEFAULT_ENGINES))]
     engines: usize,
-    /// Faults in the form of docs/TRACE.md.
+    /// Faults in the format of docs/TRACE.md.
     #[bpaf(argument("FILE"), optional)]
     faults: Option<PathBuf>,
     /// `table` or `json`.
-    #[bpaf(argument("FORM"), fallback(Form::Table))]
-    output: Form,
+    #[bpaf(argument("FORM"), fallback(OutputFormat::Table))]
+    output: OutputFormat,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Form {
+enum OutputFormat {
     Table,
     Json,
 }
 
 #[derive(Debug, Snafu)]
-#[snafu(display("no output form is named {name}; there are table and json"))]
-struct UnknownForm {
+#[snafu(display("unknown output format {name}; expected table or json"))]
+struct UnknownFormat {
     name: Arc<str>,
 }
 
-impl std::str::FromStr for Form {
-    type Err = UnknownForm;
+impl std::str::FromStr for OutputFormat {
+    type Err = UnknownFormat;
 
     fn from_str(name: &str) -> Result<Self, Self::Err> {
         match name {
             "table" => Ok(Self::Table),
             "json" => Ok(Self::Json),
-            _ => UnknownFormSnafu { name }.fail(),
+            _ => UnknownFormatSnafu { name }.fail(),
         }
     }
 }
@@ -196,9 +196,9 @@
     Trace { file: PathBuf, source: TraceError },
     #[snafu(display("{}: {source}", file.display()))]
     Faults { file: PathBuf, source: FaultError },
-    #[snafu(display("the output can't be written as JSON: {source}"))]
+    #[snafu(display("failed to serialize the output as JSON: {source}"))]
     Write { source: serde_json::Error },
-    #[snafu(display("no such constant of the decisions: {source}"))]
+    #[snafu(display("invalid scheduler setting: {source}"))]
     Settings { source: serde_json::Error },
 }
 
@@ -213,7 +213,7 @@
     }
 }
 
-fn configure(settings: &[Setting]) -> Result<SchedulerConfig, ReplayError> {
+fn scheduler_config(settings: &[Setting]) -> Result<SchedulerConfig, ReplayError> {
     let mut object = serde_json::Map::new();
     for setting in settings {
         object.insert(setting.name.to_string(), setting.value.clone());
@@ -221,32 +221,32 @@
     serde_json::from_value(object.into()).context(SettingsSnafu)
 }
 
-fn compare(file: &Path, policies: &[Policy], common: &Common) -> Result<String, ReplayError> {
+fn run_policies(file: &Path, policies: &[Policy], common: &Common) -> Result<String, ReplayError> {
     let calls = trace::parse(&read(file)?).context(TraceSnafu { file })?;
     let faults = read_faults(common.faults.as_deref())?;
-    let pool = Pool { engines: common.engines, ..Pool::default() };
-    let options = Options { seed: common.seed, pool, faults };
-    let measures: Vec<_> = policies.iter().map(|policy| replay(&calls, *policy, &options)).collect();
+    let pool = PoolConfig { engines: common.engines, ..PoolConfig::default() };
+    let options = ReplayOptions { seed: common.seed, pool, faults };
+    let stats: Vec<_> = policies.iter().map(|policy| replay(&calls, *policy, &options)).collect();
     match common.output {
-        Form::Table => Ok(report::table(&measures)),
-        Form::Json => report::json(&measures).context(WriteSnafu),
+        OutputFormat::Table => Ok(report::table(&stats)),
+        OutputFormat::Json => report::json(&stats).context(WriteSnafu),
     }
 }
 
 fn execute(command: &Command) -> Result<String, ReplayError> {
     match command {
-        Command::Run { trace, policy, common } => compare(trace, &[*policy], common),
-        Command::Compare { trace, policy, common } => compare(trace, policy, common),
+        Command::Run { trace, policy, common } => run_policies(trace, &[*policy], common),
+        Command::Compare { trace, policy, common } => run_policies(trace, policy, common),
         Command::Synth { shape, seed } => {
             trace::format(&synth::synthesise(&shape.synth(*seed))).context(WriteSnafu)
         }
         Command::Detect { rate } => Ok(detect::table(*rate)),
         Command::Score { shape, policy, first, last, step, jobs, set, faults } => {
-            let score = Score {
+            let score = ScoreOptions {
                 synth: shape.synth(*first),
                 seeds: (*first..=*last).step_by((*step).max(1)).collect(),
                 policies: policy.clone(),
-                cfg: configure(set)?,
+                cfg: scheduler_config(set)?,
                 faults: read_faults(faults.as_deref())?,
                 jobs: *jobs,
             };
--- a/agatetrestle_replay/src/programs.rs
+++ b/agatetrestle_replay/src/programs.rs
@@ -1,4 +1,4 @@
-//! A trace arranged by program, ready to be driven.
+//! Groups the calls of a trace by program.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,43 +9,43 @@
 /// A program of the trace with all its calls.
 #[derive(Debug)]
 pub struct TracedProgram {
-    /// The program.
+    /// Id of the program.
     pub id: ProgramId,
-    /// The outermost program above it, or itself.
+    /// Index of the root program, its own without a parent.
     pub root: usize,
-    /// The program that started it and the call after which it did.
+    /// Index of the parent program and the number of the call after which this one starts.
     pub parent: Option<(usize, u32)>,
-    /// Its calls in order.
+    /// Calls by number.
     pub calls: Vec<TraceCall>,
-    /// For each call the full blocks of prompt and answer.
-    pub whole: Vec<Arc<[u64]>>,
-    /// Sub-agents by the call after which they start.
+    /// Full blocks of prompt and answer for each call.
+    pub sequences: Vec<Arc<[u64]>>,
+    /// Indices of sub-agents by the number of the call after which they start.
     pub children: BTreeMap<u32, Vec<usize>>,
 }
 
-/// Arranges calls by program, in the order of first calls.
+/// Groups calls by program, in the order of the first calls.
 #[must_use]
-pub fn arrange(calls: Vec<TraceCall>) -> Vec<TracedProgram> {
+pub fn group_by_program(calls: Vec<TraceCall>) -> Vec<TracedProgram> {
     let mut by_program: BTreeMap<ProgramId, Vec<TraceCall>> = BTreeMap::new();
     for call in calls {
         let id = ProgramId { partner: call.partner.clone(), name: call.program.clone() };
         by_program.entry(id).or_default().push(call);
     }
     let mut programs: Vec<TracedProgram> =
-        by_program.into_iter().map(|(id, calls)| traced(id, calls)).collect();
+        by_program.into_iter().map(|(id, calls)| build_program(id, calls)).collect();
     programs.sort_by(|a, b| a.calls[0].arrival.cmp(&b.calls[0].arrival).then(a.id.cmp(&b.id)));
-    link(&mut programs);
+    link_parents(&mut programs);
     programs
 }
 
-fn traced(id: ProgramId, mut calls: Vec<TraceCall>) -> TracedProgram {
+fn build_program(id: ProgramId, mut calls: Vec<TraceCall>) -> TracedProgram {
     calls.sort_by_key(|call| call.call);
-    let whole = (0..calls.len()).map(|at| whole_blocks(&calls, at)).collect();
-    TracedProgram { id, root: 0, parent: None, calls, whole, children: BTreeMap::new() }
+    let sequences = (0..calls.len()).map(|at| sequence_blocks(&calls, at)).collect();
+    TracedProgram { id, root: 0, parent: None, calls, sequences, children: BTreeMap::new() }
 }
 
-fn link(programs: &mut [TracedProgram]) {
-    let index: BTreeMap<ProgramId, usize> =
+fn link_parents(programs: &mut [TracedProgram]) {
+    let index_by_id: BTreeMap<ProgramId, usize> =
         programs.iter().enumerate().map(|(at, program)| (program.id.clone(), at)).collect();
     for at in 0..programs.len() {
         programs[at].root = at;
@@ -53,26 +53,26 @@
             continue;
         };
         let id = ProgramId { partner: programs[at].id.partner.clone(), name: parent.program };
-        let Some(above) = index.get(&id).copied().filter(|above| *above != at) else {
+        let Some(parent_at) = index_by_id.get(&id).copied().filter(|parent_at| *parent_at != at) else {
             continue;
         };
-        programs[at].parent = Some((above, parent.call));
-        programs[above].children.entry(parent.call).or_default().push(at);
+        programs[at].parent = Some((parent_at, parent.call));
+        programs[parent_at].children.entry(parent.call).or_default().push(at);
     }
     for at in 0..programs.len() {
         let mut root = at;
         for _ in 0..programs.len() {
-            let Some((above, _)) = programs[root].parent else {
+            let Some((parent, _)) = programs[root].parent else {
                 break;
             };
-            root = above;
+            root = parent;
         }
         programs[at].root = root;
     }
 }
 
-/// The blocks of prompt and answer: the next prompt tells the hashes, or they are made up.
-fn whole_blocks(calls: &[TraceCall], at: usize) -> Arc<[u64]> {
+/// Block hashes of prompt and answer, taken from the next prompt and synthesised where it has none.
+fn sequence_blocks(calls: &[TraceCall], at: usize) -> Arc<[u64]> {
     let call = &calls[at];
     if call.block_tokens == 0 {
         return Arc::default();
@@ -86,12 +86,12 @@
     };
     blocks.truncate(count.max(call.blocks.len()));
     while blocks.len() < count {
-        let above = blocks.last().copied().unwrap_or_default();
-        blocks.push(crate::random::mix(above ^ u64::from(call.call) ^ fingerprint(&call.program)));
+        let previous = blocks.last().copied().unwrap_or_default();
+        blocks.push(crate::random::mix(previous ^ u64::from(call.call) ^ name_hash(&call.program)));
     }
     blocks.into()
 }
 
-fn fingerprint(name: &str) -> u64 {
+fn name_hash(name: &str) -> u64 {
     name.bytes().fold(0, |hash, byte| crate::random::mix(hash ^ u64::from(byte)))
 }
--- a/agatetrestle_replay/src/score.rs
+++ b/agatetrestle_replay/src/score.rs
@@ -1,4 +1,4 @@
-//! Policies side by side over many seeds: medians, and ratios against the best baseline.
+//! Compares policies over many seeds by medians and by ratios to the best baseline.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,75 +10,75 @@
 use agatetrestle::scheduler::Policy;
 use agatetrestle::scheduler::SchedulerConfig;
 
-use crate::catalog::Pool;
+use crate::catalog::PoolConfig;
 use crate::faults::Fault;
-use crate::measure::Measures;
 use crate::replay_with;
-use crate::synth::Synth;
+use crate::simulation::ReplayOptions;
+use crate::stats::ReplayStats;
+use crate::synth::SynthOptions;
 use crate::synth::synthesise;
-use crate::world::Options;
 
-/// What to run: each policy on the trace of each seed.
+/// Options of a comparison, which replays the trace of each seed under each policy.
 #[derive(Clone, Debug)]
-pub struct Score {
-    /// The traces, of which the seed is replaced.
-    pub synth: Synth,
-    /// Seeds of traces, fakes and policies.
+pub struct ScoreOptions {
+    /// Options of the traces; the seed is replaced.
+    pub synth: SynthOptions,
+    /// Seeds of traces, simulations and policies.
     pub seeds: Vec<u64>,
-    /// The policies.
+    /// Policies to compare.
     pub policies: Vec<Policy>,
-    /// Constants of the decisions.
+    /// Settings of the scheduler.
     pub cfg: SchedulerConfig,
-    /// What goes wrong.
+    /// Faults to inject.
     pub faults: Vec<Fault>,
-    /// Threads to use.
+    /// Number of threads.
     pub jobs: usize,
 }
 
 /// Names of policies that count as baselines.
 pub const BASELINES: [&str; 4] = ["round_robin", "least_load", "sticky", "shortest"];
 
-type Measured = Vec<Option<Measures>>;
+type Results = Vec<Option<ReplayStats>>;
 
-/// Runs everything; measures come in the order of policies, then seeds.
+/// Runs all replays; returns their statistics ordered by policy, then seed.
 ///
 /// # Panics
 ///
 /// Panics if one of the replays does.
 #[must_use]
-pub fn run(score: &Score) -> Vec<Measures> {
+pub fn run(score: &ScoreOptions) -> Vec<ReplayStats> {
     let count = score.policies.len() * score.seeds.len();
     let next = AtomicUsize::new(0);
-    let measured: Mutex<Measured> = Mutex::new(vec![None; count]);
+    let results: Mutex<Results> = Mutex::new(vec![None; count]);
     std::thread::scope(|scope| {
         for _ in 0..score.jobs.max(1) {
-            scope.spawn(|| work(score, &next, &measured));
+            scope.spawn(|| run_worker(score, &next, &results));
         }
     });
-    let measured = measured.into_inner().expect("no replay panicked");
-    measured.into_iter().flatten().collect()
+    let results = results.into_inner().expect("no replay panicked");
+    results.into_iter().flatten().collect()
 }
 
-fn work(score: &Score, next: &AtomicUsize, measured: &Mutex<Measured>) {
+fn run_worker(score: &ScoreOptions, next: &AtomicUsize, results: &Mutex<Results>) {
     loop {
         let at = next.fetch_add(1, Ordering::Relaxed);
         let Some(policy) = score.policies.get(at / score.seeds.len()) else {
             return;
         };
         let seed = score.seeds[at % score.seeds.len()];
-        let calls = synthesise(&Synth { seed, ..score.synth });
+        let calls = synthesise(&SynthOptions { seed, ..score.synth });
         let engines = usize::try_from(score.synth.engines).unwrap_or_default();
-        let pool = Pool { engines, ..Pool::default() };
-        let options = Options { seed, pool, faults: score.faults.clone() };
+        let pool = PoolConfig { engines, ..PoolConfig::default() };
+        let options = ReplayOptions { seed, pool, faults: score.faults.clone() };
         let outcome = replay_with(&calls, *policy, &score.cfg, &options);
-        measured.lock().expect("no replay panicked")[at] = Some(outcome);
+        results.lock().expect("no replay panicked")[at] = Some(outcome);
     }
 }
 
-/// A figure taken from measures.
-type Figure = fn(&Measures) -> u64;
+/// Extracts one number from the statistics of a replay.
+type Metric = fn(&ReplayStats) -> u64;
 
-const FIGURES: [(&str, Figure); 14] = [
+const METRICS: [(&str, Metric); 14] = [
     ("served p50 ms", |m| m.all.served.p50 / 1_000),
     ("served p95 ms", |m| m.all.served.p95 / 1_000),
     ("served p99 ms", |m| m.all.served.p99 / 1_000),
@@ -95,38 +95,37 @@
     ("promises broken", |m| m.broken.sum()),
 ];
 
-/// Writes medians over the seeds, one column for each policy, each with its ratio in percent to the
-/// least of the baselines.
+/// Formats medians over the seeds with a column for each policy and its ratio in percent to the lowest baseline.
 #[must_use]
-pub fn table(score: &Score, measures: &[Measures]) -> String {
-    let mut by_policy: BTreeMap<Arc<str>, Vec<&Measures>> = BTreeMap::new();
-    for measure in measures {
-        by_policy.entry(measure.policy.clone()).or_default().push(measure);
+pub fn table(score: &ScoreOptions, stats: &[ReplayStats]) -> String {
+    let mut by_policy: BTreeMap<Arc<str>, Vec<&ReplayStats>> = BTreeMap::new();
+    for run in stats {
+        by_policy.entry(run.policy.clone()).or_default().push(run);
     }
-    let columns: Vec<(Arc<str>, Vec<&Measures>)> = score
+    let columns: Vec<(Arc<str>, Vec<&ReplayStats>)> = score
         .policies
         .iter()
         .map(|policy| Arc::from(policy.name()))
         .map(|name: Arc<str>| (name.clone(), by_policy.remove(&name).unwrap_or_default()))
         .collect();
     let mut text = String::new();
-    header(&mut text, &columns);
-    for (name, figure) in FIGURES {
-        line(&mut text, name, &columns, |m| Some(figure(m)));
+    write_header(&mut text, &columns);
+    for (name, metric) in METRICS {
+        write_row(&mut text, name, &columns, |m| Some(metric(m)));
     }
     let classes: std::collections::BTreeSet<&Arc<str>> =
-        measures.iter().flat_map(|m| m.classes.keys()).collect();
+        stats.iter().flat_map(|m| m.classes.keys()).collect();
     for class in classes {
-        let of = |m: &Measures| m.classes.get(class).copied();
-        line(&mut text, &format!("{class} p50"), &columns, |m| Some(of(m)?.served.p50 / 1_000));
-        line(&mut text, &format!("{class} p95"), &columns, |m| Some(of(m)?.served.p95 / 1_000));
-        line(&mut text, &format!("{class} p99"), &columns, |m| Some(of(m)?.served.p99 / 1_000));
+        let of = |m: &ReplayStats| m.classes.get(class).copied();
+        write_row(&mut text, &format!("{class} p50"), &columns, |m| Some(of(m)?.served.p50 / 1_000));
+        write_row(&mut text, &format!("{class} p95"), &columns, |m| Some(of(m)?.served.p95 / 1_000));
+        write_row(&mut text, &format!("{class} p99"), &columns, |m| Some(of(m)?.served.p99 / 1_000));
     }
     text
 }
 
-fn header(text: &mut String, columns: &[(Arc<str>, Vec<&Measures>)]) {
-    // Writing into a string can't fail.
+fn write_header(text: &mut String, columns: &[(Arc<str>, Vec<&ReplayStats>)]) {
+    // Writing to a `String` can't fail.
     let _ = write!(text, "{:<24}", "");
     for (name, _) in columns {
         let _ = write!(text, " {name:>18}");
@@ -134,21 +133,19 @@
     text.push('\n');
 }
 
-fn line(
+fn write_row(
     text: &mut String,
     name: &str,
-    columns: &[(Arc<str>, Vec<&Measures>)],
-    figure: impl Fn(&Measures) -> Option<u64>,
+    columns: &[(Arc<str>, Vec<&ReplayStats>)],
+    metric: impl Fn(&ReplayStats) -> Option<u64>,
 ) {
-    let medians: Vec<u64> = columns
-        .iter()
-        .map(|(_, measures)| median(measures.iter().filter_map(|m| figure(m)).collect()))
-        .collect();
+    let medians: Vec<u64> =
+        columns.iter().map(|(_, stats)| median(stats.iter().filter_map(|m| metric(m)).collect())).collect();
     let baselines = columns.iter().zip(&medians).filter(|((name, _), _)| BASELINES.contains(&name.as_ref()));
-    let least = baselines.map(|(_, median)| *median).min();
+    let best = baselines.map(|(_, median)| *median).min();
     let _ = write!(text, "{name:<24}");
     for value in medians {
-        let ratio = least.and_then(|least| (value * 100).checked_div(least));
+        let ratio = best.and_then(|best| (value * 100).checked_div(best));
         let ratio = ratio.map(|percent| format!("{percent}%")).unwrap_or_default();
         let _ = write!(text, " {value:>11} {ratio:>6}");
     }
--- a/agatetrestle_replay/src/measure.rs
+++ b/agatetrestle_replay/src/stats.rs
@@ -1,23 +1,23 @@
-//! What a replay measured, in whole numbers so that two runs give the same bytes.
+//! Statistics of a replay, as integers so that the output is reproducible byte for byte.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::Serialize;
 
-/// Percentiles of a set of microseconds.
+/// Percentiles of a set of durations in microseconds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Percentiles {
     /// Median.
     pub p50: u64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub p95: u64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub p99: u64,
 }
 
 impl Percentiles {
-    /// Takes the nearest-rank percentiles.
+    /// Computes nearest-rank percentiles.
     #[must_use]
     pub fn of(mut values: Vec<u64>) -> Self {
         values.sort_unstable();
@@ -32,57 +32,57 @@
 /// Latency of the programs of one partner and class.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct ClassLatency {
-    /// Programs that got their final answer.
+    /// Completed programs.
     pub programs: usize,
-    /// First call to final answer in microseconds.
+    /// Time from first call to final answer.
     pub whole: Percentiles,
-    /// The same with the pauses taken out.
+    /// Time from first call to final answer without pauses.
     pub served: Percentiles,
 }
 
-/// Promises that were broken; each must be 0.
+/// Violations of the scheduler's guarantees; each count must be 0.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct Broken {
-    /// A call was dispatched that was not waiting, or while another of its program was in service.
+pub struct Violations {
+    /// Calls dispatched while not waiting or while another call of the program was in service.
     pub order: u64,
-    /// A non-repeatable call was sent again after it may have run.
+    /// Non-repeatable calls that were sent again after they may have run.
     pub at_most_once: u64,
-    /// Blocks held by a gone program's own prefix one keepalive and ten seconds after its last call.
+    /// Exclusive cache blocks of programs that made no call for their keepalive and ten more seconds.
     pub cache_for_the_gone: u64,
-    /// A call was refused that had been sent.
+    /// Calls refused after they had been sent.
     pub refused_after_send: u64,
-    /// New calls to a leaving backend server later than three seconds after the first sign.
+    /// Calls sent to a leaving backend server more than three seconds after the first notice.
     pub to_leaving: u64,
 }
 
-impl Broken {
-    /// All of them.
+impl Violations {
+    /// Total number of violations.
     #[must_use]
     pub fn sum(&self) -> u64 {
         self.order + self.at_most_once + self.cache_for_the_gone + self.refused_after_send + self.to_leaving
     }
 }
 
-/// Everything that one replay measured.
+/// Statistics of one replay.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct Measures {
-    /// Policy that decided.
+pub struct ReplayStats {
+    /// Name of the policy.
     pub policy: Arc<str>,
-    /// Seed of the fakes.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// Programs of the trace that are no sub-agents.
+    /// Root programs of the trace.
     pub programs: usize,
-    /// Of those, how many got their final answer.
+    /// Root programs that completed.
     pub completed: usize,
-    /// Of those, how many were turned away for good.
+    /// Root programs that gave up after repeated refusals.
     pub refused_programs: usize,
-    /// Of those, how many ended with a failed call.
+    /// Root programs that ended with a failed call.
     pub failed_programs: usize,
-    /// Latency of all programs that are no sub-agents.
+    /// Latency of all completed root programs.
     pub all: ClassLatency,
-    /// The same by `partner/class`.
+    /// Latency by `partner/class`.
     pub classes: BTreeMap<Arc<str>, ClassLatency>,
-    /// Call arrival to first token.
+    /// Time from the submission of a call to its first token.
     pub first_token: Percentiles,
     /// Calls that were answered.
     pub calls: u64,
@@ -98,18 +98,18 @@
     pub prompt_tokens: u64,
     /// Prompt tokens that were computed.
     pub computed_tokens: u64,
-    /// Of those, tokens of blocks that had been computed before.
+    /// Computed tokens of blocks that had been computed before.
     pub recomputed_tokens: u64,
-    /// Tokens that entered prefix caches.
+    /// Tokens inserted into prefix caches.
     pub inserted_tokens: u64,
-    /// Of those, tokens that were never read again.
+    /// Inserted tokens that were never read.
     pub unread_tokens: u64,
-    /// Unread and recomputed tokens over inserted tokens, in parts of 10,000.
+    /// Ratio of unread and recomputed tokens to inserted tokens in basis points.
     pub wasted_cache: u64,
-    /// Share of time that engines ran at least one request, in parts of 10,000.
+    /// Share of time in which engines ran at least one request, in basis points.
     pub engines_busy: u64,
     /// Microseconds from start to the last answer.
     pub makespan: u64,
-    /// Promises broken.
-    pub broken: Broken,
+    /// Violated guarantees.
+    pub broken: Violations,
 }
--- a/agatetrestle_replay/tests/recorded.rs
+++ b/agatetrestle_replay/tests/recorded.rs
@@ -1,5 +1,4 @@
-//! What a node records drives a replay: the recorder is told the calls of a made-up trace, and the
-//! replay runs what it wrote.
+//! Replays a trace written by a node's recorder, which is fed with the calls of a synthetic trace.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,27 +25,27 @@
 use agatetrestle::trace::TraceCall;
 use agatetrestle::trace::recorder::Recording;
 use agatetrestle::trace::recorder::TraceLog;
-use agatetrestle_replay::catalog::Pool;
+use agatetrestle_replay::catalog::PoolConfig;
 use agatetrestle_replay::replay;
-use agatetrestle_replay::synth::Synth;
+use agatetrestle_replay::simulation::ReplayOptions;
+use agatetrestle_replay::synth::SynthOptions;
 use agatetrestle_replay::synth::Workload;
 use agatetrestle_replay::synth::synthesise;
-use agatetrestle_replay::world::Options;
 
 const PROGRAMS: u32 = 30;
 
-struct NoMeasures;
+struct NoopRecorder;
 
-impl Recorder for NoMeasures {
+impl Recorder for NoopRecorder {
     fn record(&self, _: &Labels, _: &Measurement) {}
 
     fn record_cache(&self, _: u64, _: u64) {}
 }
 
-/// Decides nothing, since the test says itself when an answer comes.
-struct Silent;
+/// A scheduler without decisions; the test supplies the answers.
+struct NoopScheduler;
 
-impl Scheduler for Silent {
+impl Scheduler for NoopScheduler {
     fn step(&mut self, _: Timestamp, _: Event) -> Decisions {
         Decisions::default()
     }
@@ -64,11 +63,11 @@
     }
 }
 
-fn named(call: &TraceCall) -> ProgramId {
+fn program_id(call: &TraceCall) -> ProgramId {
     ProgramId { partner: call.partner.clone(), name: call.program.clone() }
 }
 
-fn submitted(id: CallId, call: &TraceCall) -> Call {
+fn submission(id: CallId, call: &TraceCall) -> Call {
     let work = match call.kind {
         CallKind::Model => Work::Model {
             model: call.serves.clone(),
@@ -80,8 +79,8 @@
     };
     Call {
         id,
-        program: named(call),
-        root: named(call),
+        program: program_id(call),
+        root: program_id(call),
         team: call.team.clone(),
         class: call.class.clone(),
         work,
@@ -90,10 +89,10 @@
     }
 }
 
-/// Tells the recorder every call in turn, a millisecond for each step.
+/// Records the calls in order, with one millisecond between scheduler steps.
 fn record(calls: &[TraceCall]) -> Vec<TraceCall> {
     let log = Rc::new(TraceLog::default());
-    let mut recording = Recording::new(Box::new(Silent), log.clone(), Rc::new(NoMeasures));
+    let mut recording = Recording::new(Box::new(NoopScheduler), log.clone(), Rc::new(NoopRecorder));
     let mut now = 0;
     let mut step = |event| {
         now += 1_000;
@@ -101,32 +100,32 @@
     };
     for (i, call) in (0..).zip(calls) {
         let id = CallId(i);
-        step(Event::Submit(submitted(id, call)));
+        step(Event::Submit(submission(id, call)));
         step(Event::Finished { call: id, output_tokens: call.output, cached_tokens: 0 });
         if call.last {
-            step(Event::Ended(named(call)));
+            step(Event::Ended(program_id(call)));
         }
     }
     trace::parse(&log.recent(u32::MAX).join("\n")).expect("the recorder writes what the parser reads")
 }
 
-/// Program, number and size of every call, in order.
-fn names(calls: &[TraceCall]) -> Vec<String> {
-    let name = |call: &TraceCall| format!("{} {} {}", call.program, call.call, call.prompt_tokens);
-    let mut names: Vec<String> = calls.iter().map(name).collect();
-    names.sort();
-    names
+/// Program, number and prompt size of every call, sorted.
+fn call_keys(calls: &[TraceCall]) -> Vec<String> {
+    let key = |call: &TraceCall| format!("{} {} {}", call.program, call.call, call.prompt_tokens);
+    let mut keys: Vec<String> = calls.iter().map(key).collect();
+    keys.sort();
+    keys
 }
 
 #[test]
-fn a_recorded_trace_drives_the_replay() {
-    let synth = Synth { workload: Workload::Vrsta, programs: PROGRAMS, load: 50, engines: 2, seed: 5 };
+fn replays_a_recorded_trace() {
+    let synth = SynthOptions { workload: Workload::Vrsta, programs: PROGRAMS, load: 50, engines: 2, seed: 5 };
     let mut calls = synthesise(&synth);
     calls.retain(|call| call.parent.is_none());
     let recorded = record(&calls);
-    assert_eq!(names(&recorded), names(&calls));
-    let pool = Pool { engines: 2, ..Pool::default() };
-    let measures = replay(&recorded, Policy::LeastLoad, &Options { seed: 5, pool, faults: Vec::new() });
-    assert_eq!(measures.completed, measures.programs);
-    assert_eq!(measures.broken.order, 0);
+    assert_eq!(call_keys(&recorded), call_keys(&calls));
+    let pool = PoolConfig { engines: 2, ..PoolConfig::default() };
+    let stats = replay(&recorded, Policy::LeastLoad, &ReplayOptions { seed: 5, pool, faults: Vec::new() });
+    assert_eq!(stats.completed, stats.programs);
+    assert_eq!(stats.broken.order, 0);
 }
