--- a/agatetrestle/examples/quickstart/scenario.rs
+++ b/agatetrestle/examples/quickstart/scenario.rs
@@ -8,7 +8,7 @@
 
 use agatetrestle::node::peer_link::with_deadline;
 use agatetrestle_fakes::Client;
-use agatetrestle_fakes::client::Call;
+use agatetrestle_fakes::client::ClientCall;
 use agatetrestle_fakes::client::ClientError;
 use agatetrestle_fakes::client::Reply;
 use serde_json::Value;
@@ -83,9 +83,9 @@
         Ok(())
     }
 
-    fn next_call(&mut self, program: &str) -> Call {
+    fn next_call(&mut self, program: &str) -> ClientCall {
         self.number += 1;
-        Call { program: program.to_owned(), number: self.number, key: format!("key-{}", self.number) }
+        ClientCall { program: program.to_owned(), number: self.number, key: format!("key-{}", self.number) }
     }
 
     async fn ask(&mut self, cluster: &Cluster, question: &str) -> Result<(), QuickstartError> {
@@ -129,7 +129,7 @@
     async fn sub_agent(&mut self, cluster: &Cluster) -> Result<(), QuickstartError> {
         let child = "vrsta/dawn-1-search";
         self.open(cluster, child, Some(PROGRAM)).await?;
-        let call = Call { program: child.to_owned(), number: 1, key: "search".to_owned() };
+        let call = ClientCall { program: child.to_owned(), number: 1, key: "search".to_owned() };
         let mut messages = self.messages.clone();
         messages.push(json!({ "role": "user", "content": "Rank the free cleaners by distance." }));
         let form = json!({ "model": "assistant", "stream": true, "max_tokens": 64, "messages": messages });
@@ -175,8 +175,11 @@
     /// A booking that may not run twice, and the same request once more on another node.
     async fn book(&mut self, cluster: &Cluster) -> Result<(), QuickstartError> {
         let reply = self.service(cluster, "bookings", "shifts", "Maja, ward 3").await?;
-        let call =
-            Call { program: PROGRAM.to_owned(), number: self.number, key: format!("key-{}", self.number) };
+        let call = ClientCall {
+            program: PROGRAM.to_owned(),
+            number: self.number,
+            key: format!("key-{}", self.number),
+        };
         self.addresses.rotate_left(1);
         let again = self
             .persist(async |client| client.service(&call, "bookings", "shifts", "Maja, ward 3", false).await);
--- a/agatetrestle/tests/callers.rs
+++ b/agatetrestle/tests/callers.rs
@@ -23,7 +23,7 @@
 use agatetrestle_fakes::EngineConfig;
 use agatetrestle_fakes::Forwarder;
 use agatetrestle_fakes::Service;
-use agatetrestle_fakes::client::Call;
+use agatetrestle_fakes::client::ClientCall;
 use agatetrestle_fakes::service::Behaviour;
 use serde_json::json;
 use smol::channel;
@@ -534,7 +534,7 @@
         for partner in ["vrsta", "lernwerk"] {
             let form = json!({ "partner": partner, "team": "dawn", "class": "assistant", "name": "dawn" });
             node.client.open(partner, &form).await.unwrap();
-            let call = Call { program: format!("{partner}/dawn"), number: 1, key: partner.to_owned() };
+            let call = ClientCall { program: format!("{partner}/dawn"), number: 1, key: partner.to_owned() };
             let reply = node.client.service(&call, "rota", "book", "", true).await.unwrap();
             assert_eq!(reply.status, 200, "{}", reply.json());
         }
--- a/agatetrestle/tests/support/mod.rs
+++ b/agatetrestle/tests/support/mod.rs
@@ -42,7 +42,7 @@
 use agatetrestle::scheduler::baseline::Baseline;
 use agatetrestle_config::settings::Callers;
 use agatetrestle_fakes::Client;
-use agatetrestle_fakes::client::Call;
+use agatetrestle_fakes::client::ClientCall;
 use futures::future::LocalBoxFuture;
 use serde_json::Value;
 use serde_json::json;
@@ -378,8 +378,8 @@
 }
 
 /// A call of the program of the tests.
-pub fn call(number: u32, key: &str) -> Call {
-    Call { program: PROGRAM.to_owned(), number, key: key.to_owned() }
+pub fn call(number: u32, key: &str) -> ClientCall {
+    ClientCall { program: PROGRAM.to_owned(), number, key: key.to_owned() }
 }
 
 /// A streamed model call.
--- a/agatetrestle_fakes/examples/load/main.rs
+++ b/agatetrestle_fakes/examples/load/main.rs
@@ -15,7 +15,7 @@
 use std::time::Instant;
 
 use agatetrestle_fakes::Client;
-use agatetrestle_fakes::client::Call;
+use agatetrestle_fakes::client::ClientCall;
 use agatetrestle_fakes::client::ClientError;
 use agatetrestle_fakes::client::chat_body;
 use serde_json::Value;
@@ -109,7 +109,7 @@
     }
 }
 
-async fn chat(client: Client, call: &Call, form: &Value) -> Result<(Duration, Duration), LoadError> {
+async fn chat(client: Client, call: &ClientCall, form: &Value) -> Result<(Duration, Duration), LoadError> {
     let reply = client.chat(call, form).await?;
     if reply.status == 200 && reply.is_done() {
         return Ok((reply.first_byte, reply.total));
@@ -128,7 +128,7 @@
         let key = format!("added-{run}-{}-{number}", nodes.len());
         let (program, opening) = open(*first, &key).await?;
         commit.add(opening);
-        let call = Call { program, number: 1, key: "k1".to_owned() };
+        let call = ClientCall { program, number: 1, key: "k1".to_owned() };
         direct.add(chat(plan.engine, &call, &form).await?.1);
         through.add(chat(*second, &call, &form).await?.1);
         second.end(&call.program).await?;
@@ -154,7 +154,7 @@
         let (node, form) = (plan.node, form.clone());
         tasks.push(executor.spawn(async move {
             for number in 1..=ROUNDS {
-                let call = Call { program: program.clone(), number, key: format!("k{number}") };
+                let call = ClientCall { program: program.clone(), number, key: format!("k{number}") };
                 chat(node, &call, &form).await?;
             }
             node.end(&program).await?;
--- a/agatetrestle_fakes/src/client.rs
+++ b/agatetrestle_fakes/src/client.rs
@@ -44,7 +44,7 @@
 
 /// One call of a program.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ClientCall {
     /// Program as `partner/name`.
     pub program: String,
     /// Number of the call.
@@ -148,7 +148,7 @@
     /// # Errors
     ///
     /// Fails without a whole answer.
-    pub async fn chat(&self, call: &Call, form: &Value) -> Result<Reply, ClientError> {
+    pub async fn chat(&self, call: &ClientCall, form: &Value) -> Result<Reply, ClientError> {
         self.chat_with_progress(call, form, |_| ()).await
     }
 
@@ -159,7 +159,7 @@
     /// Fails without a whole answer.
     pub async fn chat_with_progress(
         &self,
-        call: &Call,
+        call: &ClientCall,
         form: &Value,
         watch: impl FnMut(&[u8]),
     ) -> Result<Reply, ClientError> {
@@ -175,7 +175,7 @@
     /// Fails without a whole answer.
     pub async fn service(
         &self,
-        call: &Call,
+        call: &ClientCall,
         service: &str,
         path: &str,
         body: &str,
@@ -227,7 +227,7 @@
         Ok(Request::new(method, url))
     }
 
-    fn call(&self, call: &Call, path: &str) -> Result<Request, ClientError> {
+    fn call(&self, call: &ClientCall, path: &str) -> Result<Request, ClientError> {
         let mut req = self.request(Method::Post, path)?;
         req.insert_header("Agatetrestle-Program", call.program.as_str());
         req.insert_header("Agatetrestle-Call", call.number.to_string());
