--- a/agatetrestle_fakes/examples/load/process.rs
+++ b/agatetrestle_fakes/examples/load/process.rs
@@ -1,28 +1,29 @@
-//! Figures of another process as the kernel keeps them.
+//! Processor time and memory of another process, read from `/proc`.
 
 use std::io;
 use std::time::Duration;
 
-/// The kernel counts processor time in hundredths of a second.
-const TICK: Duration = Duration::from_millis(10);
-const USER_TIME: usize = 11;
-const SYSTEM_TIME: usize = 12;
+/// Clock tick of the processor times in `/proc`.
+const CLOCK_TICK: Duration = Duration::from_millis(10);
+/// Positions of `utime` and `stime` after the command name in `/proc/PID/stat`.
+const USER_TIME_FIELD: usize = 11;
+const SYSTEM_TIME_FIELD: usize = 12;
 
-/// A process by its number.
+/// A process to observe.
 #[derive(Clone, Copy, Debug)]
-pub struct Process {
-    /// Its number.
+pub struct ObservedProcess {
+    /// Process id.
     pub id: u32,
 }
 
-impl Process {
-    /// Processor time so far, in the kernel and out of it.
+impl ObservedProcess {
+    /// Total processor time in user and kernel mode.
     pub fn cpu(self) -> io::Result<Duration> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.id))?;
         let after_name = text.rsplit(')').next().unwrap_or_default();
         let fields: Vec<&str> = after_name.split_whitespace().collect();
         let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<u32>().ok()).unwrap_or(0);
-        Ok(TICK * (ticks(USER_TIME) + ticks(SYSTEM_TIME)))
+        Ok(CLOCK_TICK * (ticks(USER_TIME_FIELD) + ticks(SYSTEM_TIME_FIELD)))
     }
 
     /// Resident memory in bytes.
--- a/agatetrestle_fakes/src/cache.rs
+++ b/agatetrestle_fakes/src/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of the engine: blocks under least-recently-used eviction, with a log of changes.
+//! The prefix cache of the fake engine, with least-recently-used eviction and a log of changes.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -6,26 +6,24 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Tokens of a block.
-pub(crate) const BLOCK_TOKENS: usize = 64;
+pub(crate) const CACHE_BLOCK_TOKENS: usize = 64;
+const CACHE_BLOCK_BYTES: usize = 256;
 
-/// Bytes of prompt text in a block; its hash runs over all blocks before it.
-const BLOCK_BYTES: usize = 256;
-
-/// A change of the cache.
+/// A cache event.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Change {
-    /// Blocks that came in.
+    /// Blocks added to the cache.
     Stored(Vec<u64>),
-    /// Blocks that went out.
+    /// Blocks removed from the cache.
     Evicted(Vec<u64>),
 }
 
-/// Blocks by hash, with the time of their last use.
+/// Cached and exported blocks; each block hash covers its whole prefix.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
-    used: HashMap<u64, u64>,
+    /// Logical time of last use by block hash.
+    last_used: HashMap<u64, u64>,
     clock: u64,
     owned: HashMap<String, Vec<u64>>,
     exported: HashMap<String, Vec<u64>>,
@@ -33,40 +31,40 @@
 }
 
 impl Cache {
-    /// Looks a program's prompt up and keeps it; returns how many leading blocks were there.
-    pub(crate) fn visit(&mut self, program: &str, prompt: &[u8], capacity: usize) -> usize {
-        let mut chain = 0;
+    /// Inserts a program's prompt; returns the number of leading blocks that were cached.
+    pub(crate) fn insert_prompt(&mut self, program: &str, prompt: &[u8], capacity: usize) -> usize {
+        let mut prefix_hash = 0;
         let mut blocks = Vec::new();
-        for block in prompt.chunks_exact(BLOCK_BYTES) {
-            chain = xxh3_64_with_seed(block, chain);
-            blocks.push(chain);
+        for block in prompt.chunks_exact(CACHE_BLOCK_BYTES) {
+            prefix_hash = xxh3_64_with_seed(block, prefix_hash);
+            blocks.push(prefix_hash);
         }
-        let found = blocks.iter().take_while(|block| self.used.contains_key(block)).count();
+        let hits = blocks.iter().take_while(|block| self.last_used.contains_key(block)).count();
         self.store(&blocks);
         self.owned.insert(program.to_owned(), blocks);
         self.evict_beyond(capacity);
-        found
+        hits
     }
 
-    /// Blocks held.
+    /// Number of cached blocks.
     pub(crate) fn len(&self) -> usize {
-        self.used.len()
+        self.last_used.len()
     }
 
-    /// The changes after a position, with the position after them.
+    /// The end position of the log and the changes after a position.
     pub(crate) fn changes(&self, after: usize) -> (usize, Vec<Change>) {
         (self.log.len(), self.log.iter().skip(after).cloned().collect())
     }
 
-    /// Carries out an order about a program; false for an unknown one.
+    /// Applies a cache order to a program's blocks; returns false for an unknown order.
     pub(crate) fn order(&mut self, program: &str, order: &str) -> bool {
         match order {
             "release" => {
                 self.exported.remove(program);
-                self.drop_owned(program);
+                self.remove_exclusive(program);
             }
             "export" => {
-                let blocks = self.drop_owned(program);
+                let blocks = self.remove_exclusive(program);
                 self.exported.insert(program.to_owned(), blocks);
             }
             "import" => {
@@ -83,7 +81,7 @@
         let mut stored = Vec::new();
         for block in blocks {
             self.clock += 1;
-            if self.used.insert(*block, self.clock).is_none() {
+            if self.last_used.insert(*block, self.clock).is_none() {
                 stored.push(*block);
             }
         }
@@ -92,29 +90,31 @@
         }
     }
 
-    /// Drops what only this program holds; blocks that others share stay.
-    fn drop_owned(&mut self, program: &str) -> Vec<u64> {
+    /// Removes the blocks that no other program uses; returns all blocks of the program.
+    fn remove_exclusive(&mut self, program: &str) -> Vec<u64> {
         let blocks = self.owned.remove(program).unwrap_or_default();
         let shared: HashSet<u64> = self.owned.values().flatten().copied().collect();
-        let own = blocks.iter().copied().filter(|block| !shared.contains(block)).collect();
-        self.evict(own);
+        let exclusive = blocks.iter().copied().filter(|block| !shared.contains(block)).collect();
+        self.evict(exclusive);
         blocks
     }
 
     fn evict_beyond(&mut self, capacity: usize) {
-        let excess = self.used.len().saturating_sub(capacity);
+        let excess = self.last_used.len().saturating_sub(capacity);
         if excess == 0 {
             return;
         }
-        let mut by_age: Vec<(u64, u64)> = self.used.iter().map(|(block, used)| (*used, *block)).collect();
-        by_age.sort_unstable();
-        self.evict(by_age.into_iter().take(excess).map(|(_, block)| block).collect());
+        let mut oldest_first: Vec<(u64, u64)> =
+            self.last_used.iter().map(|(block, last_used)| (*last_used, *block)).collect();
+        oldest_first.sort_unstable();
+        self.evict(oldest_first.into_iter().take(excess).map(|(_, block)| block).collect());
     }
 
     fn evict(&mut self, blocks: Vec<u64>) {
-        let held: Vec<u64> = blocks.into_iter().filter(|block| self.used.remove(block).is_some()).collect();
-        if !held.is_empty() {
-            self.log.push(Change::Evicted(held));
+        let evicted: Vec<u64> =
+            blocks.into_iter().filter(|block| self.last_used.remove(block).is_some()).collect();
+        if !evicted.is_empty() {
+            self.log.push(Change::Evicted(evicted));
         }
     }
 }
--- a/agatetrestle_fakes/src/client.rs
+++ b/agatetrestle_fakes/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller of the HTTP interface, as small as one can be written.
+//! A minimal client of the HTTP interface, with a new connection for each request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,63 +15,63 @@
 use smol::net::TcpStream;
 use snafu::Snafu;
 
-/// Why a request got no answer at all.
+/// Failure of a request without a usable response.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
-    /// No connection could be made, so that nothing was sent.
-    #[snafu(display("no connection to {address}: {source}"))]
+    /// The connection failed; nothing was sent.
+    #[snafu(display("failed to connect to {address}: {source}"))]
     Connect {
-        /// Where to.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The connection broke, or what came was no HTTP.
-    #[snafu(display("no answer from {address}: {detail}"))]
+    /// The connection broke or the response was not valid HTTP.
+    #[snafu(display("request to {address} failed: {detail}"))]
     Exchange {
-        /// Where to.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the library said.
+        /// Error of the HTTP library.
         detail: http_types::Error,
     },
-    /// The address answer or a path could not be read.
-    #[snafu(display("unusable: {text}"))]
+    /// A request path or a list of addresses is malformed.
+    #[snafu(display("malformed path or address list: {text}"))]
     Malformed {
-        /// What could not be read.
+        /// The malformed text.
         text: String,
     },
 }
 
-/// One call of a program.
+/// Identifies a call of a program.
 #[derive(Clone, Debug)]
 pub struct ClientCall {
-    /// Program as `partner/name`.
+    /// Program id as `partner/name`.
     pub program: String,
     /// Number of the call.
     pub number: u32,
-    /// Key of the request.
+    /// Idempotency key.
     pub key: String,
 }
 
-/// An answer, whole.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Media type.
+    /// Value of `Content-Type`.
     pub content_type: String,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
     /// `Retry-After` in seconds.
     pub retry_after: Option<u64>,
-    /// From the start of the request to the first byte of the body.
+    /// Time from the start of the request to the first byte of the body.
     pub first_byte: Duration,
-    /// From the start of the request to the end of the body.
+    /// Time from the start of the request to the end of the body.
     pub total: Duration,
 }
 
 impl Reply {
-    /// The body as JSON, null where it is none.
+    /// The body as JSON, null if it is not valid JSON.
     #[must_use]
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
@@ -84,44 +84,44 @@
         text.lines().filter_map(|line| line.strip_prefix("data: ")).map(str::to_owned).collect()
     }
 
-    /// The text of a chat completion, streamed or whole.
+    /// The text of a chat completion, streamed or not.
     #[must_use]
     pub fn text(&self) -> String {
         if !self.content_type.starts_with("text/event-stream") {
-            let whole = self.json();
-            return whole["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned();
+            let completion = self.json();
+            return completion["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned();
         }
         let events = self.events();
         let values = events.iter().filter_map(|data| serde_json::from_str::<Value>(data).ok());
         values.filter_map(|v| v["choices"][0]["delta"]["content"].as_str().map(str::to_owned)).collect()
     }
 
-    /// Whether a streamed answer came to its end.
+    /// Whether a stream ended with its `[DONE]` event.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.events().last().is_some_and(|data| data == "[DONE]")
     }
 }
 
-/// A caller that talks to one address.
+/// A client of one node.
 #[derive(Clone, Copy, Debug)]
 pub struct Client {
-    /// Where it connects.
+    /// Address of the node.
     pub address: SocketAddr,
 }
 
 impl Client {
-    /// A caller that will connect to `address`.
+    /// Creates a client without connecting.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self { address }
     }
 
-    /// Asks which addresses to use, for a program or for a new one.
+    /// Fetches the addresses to use for a program, or for a new one without `program`.
     ///
     /// # Errors
     ///
-    /// Fails without an answer or with one that holds no addresses.
+    /// Fails without a response or on malformed addresses.
     pub async fn addresses(&self, program: Option<&str>) -> Result<Vec<SocketAddr>, ClientError> {
         let query = program.map(|p| format!("?program={p}")).unwrap_or_default();
         let reply = self.get(&format!("/v1/addresses{query}")).await?;
@@ -131,7 +131,7 @@
         parsed.ok_or_else(|| ClientError::Malformed { text: reply.json().to_string() })
     }
 
-    /// Opens a program from its JSON form.
+    /// Opens a program described by a JSON request body.
     ///
     /// # Errors
     ///
@@ -143,7 +143,7 @@
         self.send(req, |_| ()).await
     }
 
-    /// Makes a model call; `form` is a chat-completions request.
+    /// Makes a model call; `form` is the body of a chat-completions request.
     ///
     /// # Errors
     ///
@@ -152,7 +152,7 @@
         self.chat_with_progress(call, form, |_| ()).await
     }
 
-    /// Makes a model call and shows each part of the answer as it comes.
+    /// Makes a model call and passes each chunk of the response body to `on_chunk`.
     ///
     /// # Errors
     ///
@@ -161,14 +161,14 @@
         &self,
         call: &ClientCall,
         form: &Value,
-        watch: impl FnMut(&[u8]),
+        on_chunk: impl FnMut(&[u8]),
     ) -> Result<Reply, ClientError> {
         let mut req = self.call(call, "/v1/chat/completions")?;
         req.set_body(Body::from(form.clone()));
-        self.send(req, watch).await
+        self.send(req, on_chunk).await
     }
 
-    /// Calls a service; `repeatable` asks for a stricter rule where it is false.
+    /// Calls a service; with `repeatable` false, the call runs at most once.
     ///
     /// # Errors
     ///
@@ -187,7 +187,7 @@
         self.send(req, |_| ()).await
     }
 
-    /// Asks for the stored answer of a request.
+    /// Fetches the stored answer to a request.
     ///
     /// # Errors
     ///
@@ -216,11 +216,11 @@
         self.send(req, |_| ()).await
     }
 
-    /// A request to a path, without headers.
+    /// Builds a request to a path, without headers.
     ///
     /// # Errors
     ///
-    /// Fails on a malformed path.
+    /// Fails if the path is malformed.
     pub fn request(&self, method: Method, path: &str) -> Result<Request, ClientError> {
         let url = Url::parse(&format!("http://{}{path}", self.address));
         let url = url.map_err(|e| ClientError::Malformed { text: format!("{path}: {e}") })?;
@@ -235,12 +235,12 @@
         Ok(req)
     }
 
-    /// Sends a request on a connection of its own and reads the answer.
+    /// Sends a request on a new connection and reads the response.
     ///
     /// # Errors
     ///
     /// Fails without a whole answer.
-    pub async fn send(&self, req: Request, mut watch: impl FnMut(&[u8])) -> Result<Reply, ClientError> {
+    pub async fn send(&self, req: Request, mut on_chunk: impl FnMut(&[u8])) -> Result<Reply, ClientError> {
         let address = self.address;
         let started = Instant::now();
         let stream = TcpStream::connect(address).await;
@@ -261,11 +261,11 @@
             if count == 0 {
                 break;
             }
-            watch(&buf[..count]);
+            on_chunk(&buf[..count]);
             reply.body.extend_from_slice(&buf[..count]);
         }
         if expected.is_some_and(|expected| expected != reply.body.len()) {
-            return Err(failed(http_types::Error::from_str(502, "the answer was cut off")));
+            return Err(failed(http_types::Error::from_str(502, "response body truncated")));
         }
         reply.total = started.elapsed();
         Ok(reply)
@@ -284,7 +284,7 @@
     }
 }
 
-/// A streamed chat-completions request with one user message after a system prompt.
+/// Builds the body of a streaming chat-completions request with a system prompt and one user message.
 #[must_use]
 pub fn chat_body(model: &str, system: &str, user: &str, max_tokens: u64) -> Value {
     let messages = json!([{ "role": "system", "content": system }, { "role": "user", "content": user }]);
--- a/agatetrestle_fakes/src/engine.rs
+++ b/agatetrestle_fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: chat completions, streamed or whole, with a prefix cache that it counts.
+//! A fake inference engine: chat completions, streamed or not, with a simulated prefix cache.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,30 +21,30 @@
 use smol::channel::Receiver;
 use smol::channel::Sender;
 
-use crate::cache::BLOCK_TOKENS;
+use crate::cache::CACHE_BLOCK_TOKENS;
 use crate::cache::Cache;
 use crate::server;
-use crate::server::Server;
+use crate::server::HttpServer;
 use crate::server::header;
 
 const BYTES_PER_TOKEN: usize = 4;
 
-/// How the engine behaves.
+/// Configuration of a fake engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// Port it listens on, 0 for one that the operating system chooses.
+    /// Listening port; 0 lets the operating system choose one.
     pub port: u16,
-    /// Tokens of each answer, unless the request allows fewer.
+    /// Tokens in each answer, unless the request allows fewer.
     pub output_tokens: u64,
-    /// Time before the first token.
+    /// Delay before the first token.
     pub first_token_delay: Duration,
-    /// Time before each further token.
+    /// Delay before each further token.
     pub token_delay: Duration,
-    /// Blocks of 64 tokens that the prefix cache holds.
+    /// Capacity of the prefix cache in blocks of 64 tokens.
     pub cache_blocks: usize,
-    /// Each token waits for a permit from here, where it is set; a closed channel lets all pass.
+    /// If set, each token waits for a message on this channel; closing it lets all pass.
     pub gate: Option<Receiver<()>>,
-    /// The connection breaks after so many tokens, where it is set, as often as [`Engine::break_next`] says.
+    /// Number of tokens after which streams chosen by [`Engine::break_next`] break off.
     pub break_after: u64,
 }
 
@@ -62,51 +62,51 @@
     }
 }
 
-/// One request as the engine saw it.
+/// A chat request that the engine received.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct ReceivedRequest {
-    /// Program of the call.
+    /// Program of the call, from its header.
     pub program: String,
     /// Number of the call.
     pub call: String,
-    /// Key of the request.
+    /// Idempotency key.
     pub key: String,
-    /// Priority, higher first.
+    /// Scheduling priority, higher first.
     pub priority: String,
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Those that were cached.
+    /// Prompt tokens found in the cache.
     pub cached_tokens: u64,
 }
 
 #[derive(Debug)]
-struct State {
+struct EngineState {
     config: EngineConfig,
     requests: RefCell<Vec<ReceivedRequest>>,
     running: Cell<u32>,
     cancelled: Cell<u32>,
-    breaks: Cell<u32>,
-    refusals: Cell<u32>,
+    pending_breaks: Cell<u32>,
+    pending_refusals: Cell<u32>,
     cache: RefCell<Cache>,
-    orders: RefCell<Vec<(String, String)>>,
-    ordered: Sender<()>,
-    orders_seen: Receiver<()>,
+    cache_orders: RefCell<Vec<(String, String)>>,
+    order_tx: Sender<()>,
+    order_rx: Receiver<()>,
 }
 
-/// A running engine.
+/// A running fake engine.
 #[derive(Debug)]
 pub struct Engine {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    state: Rc<State>,
-    _server: Server,
+    state: Rc<EngineState>,
+    _server: HttpServer,
 }
 
-struct Answer {
+struct PlannedAnswer {
     id: String,
     tokens: u64,
-    prompt: u64,
-    cached: u64,
+    prompt_tokens: u64,
+    cached_tokens: u64,
     breaks: bool,
 }
 
@@ -118,18 +118,18 @@
     /// Fails if no port can be bound.
     pub async fn start(executor: &Rc<LocalExecutor<'static>>, config: EngineConfig) -> io::Result<Self> {
         let port = config.port;
-        let (ordered, orders_seen) = channel::unbounded();
-        let state = Rc::new(State {
+        let (order_tx, order_rx) = channel::unbounded();
+        let state = Rc::new(EngineState {
             config,
             requests: RefCell::default(),
             running: Cell::new(0),
             cancelled: Cell::new(0),
-            breaks: Cell::new(0),
-            refusals: Cell::new(0),
+            pending_breaks: Cell::new(0),
+            pending_refusals: Cell::new(0),
             cache: RefCell::default(),
-            orders: RefCell::default(),
-            ordered,
-            orders_seen,
+            cache_orders: RefCell::default(),
+            order_tx,
+            order_rx,
         });
         let shared = Rc::clone(&state);
         let spawner = Rc::clone(executor);
@@ -138,59 +138,59 @@
         Ok(Self { address: server.address, state, _server: server })
     }
 
-    /// Stops it: the listener and all connections close.
+    /// Closes the listener and all connections.
     pub fn stop(self) {
         drop(self);
     }
 
-    /// The requests it saw, in order of arrival.
+    /// The chat requests received, in order of arrival.
     #[must_use]
     pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.state.requests.borrow().clone()
     }
 
-    /// Streams that ended because the other side closed the connection.
+    /// Number of streams that ended because the client closed the connection.
     #[must_use]
     pub fn cancelled(&self) -> u32 {
         self.state.cancelled.get()
     }
 
-    /// Requests being answered.
+    /// Number of requests being answered.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.state.running.get()
     }
 
-    /// The orders about its cache, as program and order.
+    /// The cache orders received, as program and order.
     #[must_use]
     pub fn cache_orders(&self) -> Vec<(String, String)> {
-        self.state.orders.borrow().clone()
+        self.state.cache_orders.borrow().clone()
     }
 
-    /// Waits until a further order has come.
+    /// Waits for the next cache order.
     pub async fn wait_for_cache_order(&self) {
-        self.state.orders_seen.recv().await.ok();
+        self.state.order_rx.recv().await.ok();
     }
 
-    /// Blocks that its cache holds.
+    /// Number of blocks in the prefix cache.
     #[must_use]
     pub fn cached_blocks(&self) -> usize {
         self.state.cache.borrow().len()
     }
 
-    /// Lets the next `count` streams break off.
+    /// Breaks off the next `count` streams after [`EngineConfig::break_after`] tokens.
     pub fn break_next(&self, count: u32) {
-        self.state.breaks.set(count);
+        self.state.pending_breaks.set(count);
     }
 
-    /// Refuses the next `count` requests before they start.
+    /// Answers the next `count` requests with status 503.
     pub fn refuse_next(&self, count: u32) {
-        self.state.refusals.set(count);
+        self.state.pending_refusals.set(count);
     }
 }
 
 async fn answer(
-    state: Rc<State>,
+    state: Rc<EngineState>,
     executor: Rc<LocalExecutor<'static>>,
     mut request: Request,
 ) -> http_types::Result<Response> {
@@ -199,21 +199,21 @@
         "/admin/report" => return Ok(report(&state, &request)),
         "/admin/cache" => {
             let form: Value = request.body_json().await?;
-            return Ok(order(&state, &form));
+            return Ok(handle_cache_order(&state, &form));
         }
         "/admin/requests" => return Ok(server::json(StatusCode::Ok, &*state.requests.borrow())),
         _ => return Ok(Response::new(StatusCode::NotFound)),
     }
     let form: Value = request.body_json().await?;
-    if take_one(&state.refusals) {
+    if take_pending(&state.pending_refusals) {
         return Ok(Response::new(StatusCode::ServiceUnavailable));
     }
-    let answer = plan(&state, &request, &form);
+    let answer = plan_answer(&state, &request, &form);
     state.running.set(state.running.get() + 1);
     if form["stream"].as_bool().unwrap_or(false) {
         return Ok(stream(state, &executor, answer));
     }
-    let text = whole(&state, &answer).await;
+    let text = collect_tokens(&state, &answer).await;
     state.running.set(state.running.get() - 1);
     let message = json!({ "role": "assistant", "content": text });
     let choice = json!({ "index": 0, "message": message, "finish_reason": "stop" });
@@ -221,7 +221,7 @@
     Ok(server::json(StatusCode::Ok, &reply))
 }
 
-fn report(state: &State, request: &Request) -> Response {
+fn report(state: &EngineState, request: &Request) -> Response {
     let after = request.url().query_pairs().find(|(name, _)| name == "after");
     let after = after.and_then(|(_, value)| value.parse().ok()).unwrap_or(0);
     let (position, changes) = state.cache.borrow().changes(after);
@@ -235,102 +235,106 @@
     server::json(StatusCode::Ok, &report)
 }
 
-fn order(state: &State, form: &Value) -> Response {
+fn handle_cache_order(state: &EngineState, form: &Value) -> Response {
     let (program, order) = (form["program"].as_str(), form["order"].as_str());
     let (Some(program), Some(order)) = (program, order) else {
         return Response::new(StatusCode::BadRequest);
     };
     let known = state.cache.borrow_mut().order(program, order);
-    state.orders.borrow_mut().push((program.to_owned(), order.to_owned()));
-    state.ordered.try_send(()).ok();
+    state.cache_orders.borrow_mut().push((program.to_owned(), order.to_owned()));
+    state.order_tx.try_send(()).ok();
     Response::new(if known { StatusCode::NoContent } else { StatusCode::BadRequest })
 }
 
-fn take_one(count: &Cell<u32>) -> bool {
+fn take_pending(count: &Cell<u32>) -> bool {
     let left = count.get();
     count.set(left.saturating_sub(1));
     left > 0
 }
 
-fn plan(state: &State, request: &Request, form: &Value) -> Answer {
+fn plan_answer(state: &EngineState, request: &Request, form: &Value) -> PlannedAnswer {
     let prompt = serde_json::to_vec(&[form.get("tools"), form.get("messages")]).unwrap_or_default();
     let program = header(request, "Agatetrestle-Program");
-    let found = state.cache.borrow_mut().visit(&program, &prompt, state.config.cache_blocks);
+    let hits = state.cache.borrow_mut().insert_prompt(&program, &prompt, state.config.cache_blocks);
     let count = |value: usize| u64::try_from(value).unwrap_or(u64::MAX);
-    let seen = ReceivedRequest {
+    let received = ReceivedRequest {
         program,
         call: header(request, "Agatetrestle-Call"),
         key: header(request, "Idempotency-Key"),
         priority: header(request, "Agatetrestle-Priority"),
         prompt_tokens: count(prompt.len().div_ceil(BYTES_PER_TOKEN)),
-        cached_tokens: count(found * BLOCK_TOKENS),
+        cached_tokens: count(hits * CACHE_BLOCK_TOKENS),
     };
-    let answer = Answer {
-        id: format!("{}#{}", seen.program, seen.call),
+    let answer = PlannedAnswer {
+        id: format!("{}#{}", received.program, received.call),
         tokens: state.config.output_tokens.min(form["max_tokens"].as_u64().unwrap_or(u64::MAX)),
-        prompt: seen.prompt_tokens,
-        cached: seen.cached_tokens,
-        breaks: take_one(&state.breaks),
+        prompt_tokens: received.prompt_tokens,
+        cached_tokens: received.cached_tokens,
+        breaks: take_pending(&state.pending_breaks),
     };
-    state.requests.borrow_mut().push(seen);
+    state.requests.borrow_mut().push(received);
     answer
 }
 
-impl Answer {
-    /// Each token names the call, so that a crossed answer shows.
+impl PlannedAnswer {
+    /// Includes the call in each token, so that tests detect mixed-up answers.
     fn token(&self, number: u64) -> String {
         format!("{}:{number} ", self.id)
     }
 
     fn usage(&self) -> Value {
         json!({
-            "prompt_tokens": self.prompt,
+            "prompt_tokens": self.prompt_tokens,
             "completion_tokens": self.tokens,
-            "total_tokens": self.prompt + self.tokens,
-            "prompt_tokens_details": { "cached_tokens": self.cached },
+            "total_tokens": self.prompt_tokens + self.tokens,
+            "prompt_tokens_details": { "cached_tokens": self.cached_tokens },
         })
     }
 }
 
-async fn pace(state: &State, number: u64) {
+async fn wait_for_token(state: &EngineState, number: u64) {
     if let Some(gate) = &state.config.gate {
         gate.recv().await.ok();
     }
-    let span = if number == 0 { state.config.first_token_delay } else { state.config.token_delay };
-    server::pause(span).await;
+    let delay = if number == 0 { state.config.first_token_delay } else { state.config.token_delay };
+    server::sleep(delay).await;
 }
 
-async fn whole(state: &State, answer: &Answer) -> String {
+async fn collect_tokens(state: &EngineState, answer: &PlannedAnswer) -> String {
     let mut text = String::new();
     for number in 0..answer.tokens {
-        pace(state, number).await;
+        wait_for_token(state, number).await;
         text.push_str(&answer.token(number));
     }
     text
 }
 
-fn stream(state: Rc<State>, executor: &LocalExecutor<'static>, answer: Answer) -> Response {
+fn stream(state: Rc<EngineState>, executor: &LocalExecutor<'static>, answer: PlannedAnswer) -> Response {
     let (tx, rx) = channel::bounded(1);
     executor
         .spawn(async move {
-            let done = generate(&state, &answer, &tx).await;
+            let sent = generate(&state, &answer, &tx).await;
             state.running.set(state.running.get() - 1);
-            if done.is_none() {
+            if sent.is_none() {
                 state.cancelled.set(state.cancelled.get() + 1);
             }
         })
         .detach();
     let mut response = Response::new(StatusCode::Ok);
-    let reader = Box::pin(rx).map(|piece: io::Result<Vec<u8>>| piece).into_async_read();
+    let reader = Box::pin(rx).map(|chunk: io::Result<Vec<u8>>| chunk).into_async_read();
     response.set_body(Body::from_reader(reader, None));
     response.insert_header("Content-Type", "text/event-stream");
     response
 }
 
-/// Sends the events; none where the other side is gone.
-async fn generate(state: &State, answer: &Answer, tx: &Sender<io::Result<Vec<u8>>>) -> Option<()> {
+/// Sends the events of a stream; returns `None` if the client closed the connection.
+async fn generate(
+    state: &EngineState,
+    answer: &PlannedAnswer,
+    tx: &Sender<io::Result<Vec<u8>>>,
+) -> Option<()> {
     for number in 0..answer.tokens {
-        pace(state, number).await;
+        wait_for_token(state, number).await;
         if answer.breaks && number >= state.config.break_after {
             tx.send(Err(io::ErrorKind::ConnectionReset.into())).await.ok();
             return Some(());
--- a/agatetrestle_fakes/src/forwarder.rs
+++ b/agatetrestle_fakes/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! A TCP forwarder that can lose track of connections: they stay open and nothing passes.
+//! A TCP forwarder that can blackhole connections: they stay open and all bytes are dropped.
 
 use std::cell::Cell;
 use std::io;
@@ -15,21 +15,21 @@
 
 const BUF_SIZE: usize = 16 << 10;
 
-/// What is forwarded; a connection remembers how many were forgotten when it was made.
+/// A connection forwards while its generation is the current one.
 #[derive(Debug, Default)]
-struct State {
+struct ForwarderState {
     generation: Cell<u64>,
-    swallows_new: Cell<bool>,
+    blackholes_new: Cell<bool>,
     accepted: Cell<u64>,
-    swallowed: Cell<u64>,
+    dropped_bytes: Cell<u64>,
 }
 
 /// A running forwarder.
 #[derive(Debug)]
 pub struct Forwarder {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    state: Rc<State>,
+    state: Rc<ForwarderState>,
     _accepting: Task<()>,
 }
 
@@ -42,15 +42,16 @@
     pub async fn start(executor: &Rc<LocalExecutor<'static>>, target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
-        let state = Rc::new(State::default());
+        let state = Rc::new(ForwarderState::default());
         let shared = Rc::clone(&state);
         let connections = Rc::new(LocalExecutor::new());
         let accepting = async move {
             let accept = async {
                 while let Ok((stream, _)) = listener.accept().await {
                     shared.accepted.set(shared.accepted.get() + 1);
-                    let made = if shared.swallows_new.get() { None } else { Some(shared.generation.get()) };
-                    connections.spawn(forward(Rc::clone(&shared), made, stream, target)).detach();
+                    let blackholed = shared.blackholes_new.get();
+                    let generation = if blackholed { None } else { Some(shared.generation.get()) };
+                    connections.spawn(forward(Rc::clone(&shared), generation, stream, target)).detach();
                 }
             };
             connections.run(accept).await;
@@ -58,51 +59,52 @@
         Ok(Self { address, state, _accepting: executor.spawn(accepting) })
     }
 
-    /// Stops it: the listener and all connections close.
+    /// Closes the listener and all connections.
     pub fn stop(self) {
         drop(self);
     }
 
-    /// Forgets all connections there are: from now on they swallow every byte; new ones work.
+    /// Drops all further bytes of the existing connections; new ones are forwarded.
     pub fn blackhole_existing(&self) {
         self.state.generation.set(self.state.generation.get() + 1);
     }
 
-    /// Whether connections made from now on swallow every byte too.
+    /// Sets whether all bytes of new connections are dropped.
     pub fn blackhole_new(&self, enabled: bool) {
-        self.state.swallows_new.set(enabled);
+        self.state.blackholes_new.set(enabled);
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted.
     #[must_use]
     pub fn accepted(&self) -> u64 {
         self.state.accepted.get()
     }
 
-    /// Bytes swallowed so far.
+    /// Number of bytes dropped.
     #[must_use]
     pub fn dropped_bytes(&self) -> u64 {
-        self.state.swallowed.get()
+        self.state.dropped_bytes.get()
     }
 }
 
-async fn forward(state: Rc<State>, made: Option<u64>, near: TcpStream, target: SocketAddr) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn forward(state: Rc<ForwarderState>, generation: Option<u64>, client: TcpStream, target: SocketAddr) {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    zip(pass(&state, made, near.clone(), far.clone()), pass(&state, made, far, near)).await;
+    let requests = copy(&state, generation, client.clone(), server.clone());
+    zip(requests, copy(&state, generation, server, client)).await;
 }
 
-async fn pass(state: &State, made: Option<u64>, mut from: TcpStream, mut to: TcpStream) {
+async fn copy(state: &ForwarderState, generation: Option<u64>, mut from: TcpStream, mut to: TcpStream) {
     let mut buf = vec![0; BUF_SIZE];
     loop {
         let count = from.read(&mut buf).await.unwrap_or(0);
-        let forgotten = made != Some(state.generation.get());
-        if forgotten && count == 0 {
+        let blackholed = generation != Some(state.generation.get());
+        if blackholed && count == 0 {
             return std::future::pending().await;
         }
-        if forgotten {
-            state.swallowed.set(state.swallowed.get() + count as u64);
+        if blackholed {
+            state.dropped_bytes.set(state.dropped_bytes.get() + count as u64);
             continue;
         }
         if count == 0 || to.write_all(&buf[..count]).await.is_err() {
--- a/agatetrestle_fakes/src/lib.rs
+++ b/agatetrestle_fakes/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the systems that agatetrestle meets, for tests and examples.
+//! Fake servers and a client for tests and examples.
 //!
-//! Each is a task on the caller's executor and listens on a loopback port that the operating system
-//! chooses. None keeps time by itself unless it is told a pace, so that tests stay deterministic.
+//! Each server is a task on the caller's executor and listens on a loopback port, chosen by the operating system unless
+//! a port is given. Servers add no delay unless configured, so that tests stay deterministic.
 
 mod cache;
 pub mod client;
--- a/agatetrestle_fakes/src/server.rs
+++ b/agatetrestle_fakes/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that the stand-ins share.
+//! The HTTP server that the fakes share.
 
 use std::future::Future;
 use std::io;
@@ -14,21 +14,24 @@
 use smol::Task;
 use smol::net::TcpListener;
 
-/// A running server; dropping it closes the listener and every connection.
+/// A running HTTP server. Dropping it closes the listener and all connections.
 #[derive(Debug)]
-pub struct Server {
-    /// Where it listens.
+pub struct HttpServer {
+    /// Listening address.
     pub address: SocketAddr,
     _accepting: Task<()>,
 }
 
-/// Listens on a loopback port, 0 for one that the operating system chooses, and answers each request by
-/// `answer`.
+/// Serves requests with `answer` on a loopback port; 0 lets the operating system choose one.
 ///
 /// # Errors
 ///
 /// Fails if no port can be bound.
-pub async fn serve<F, A>(executor: &Rc<LocalExecutor<'static>>, port: u16, answer: F) -> io::Result<Server>
+pub async fn serve<F, A>(
+    executor: &Rc<LocalExecutor<'static>>,
+    port: u16,
+    answer: F,
+) -> io::Result<HttpServer>
 where
     F: Fn(Request) -> A + 'static,
     A: Future<Output = http_types::Result<Response>> + 'static,
@@ -50,17 +53,17 @@
         };
         connections.run(accept).await;
     };
-    Ok(Server { address, _accepting: executor.spawn(accepting) })
+    Ok(HttpServer { address, _accepting: executor.spawn(accepting) })
 }
 
-/// Waits; a span of zero does not even yield to the timer.
-pub async fn pause(span: Duration) {
-    if !span.is_zero() {
-        smol::Timer::after(span).await;
+/// Sleeps; returns without yielding if the duration is zero.
+pub async fn sleep(duration: Duration) {
+    if !duration.is_zero() {
+        smol::Timer::after(duration).await;
     }
 }
 
-/// A JSON answer.
+/// Builds a JSON response.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     let mut response = Response::new(status);
     response.set_body(serde_json::to_vec(value).unwrap_or_default());
@@ -68,7 +71,7 @@
     response
 }
 
-/// A header's value as text, empty where it is missing.
+/// Returns the last value of a header, empty if the header is missing.
 #[must_use]
 pub fn header(request: &Request, name: &str) -> String {
     request.header(name).map(|values| values.last().to_string()).unwrap_or_default()
--- a/agatetrestle_fakes/src/service.rs
+++ b/agatetrestle_fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each request ran, so that a test sees a double run.
+//! A fake service that counts the runs of each request, so that tests detect duplicate runs.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -17,18 +17,18 @@
 use smol::channel::Sender;
 
 use crate::server;
-use crate::server::Server;
+use crate::server::HttpServer;
 use crate::server::header;
 
-/// What the service does with the requests that come.
+/// What the service does with incoming requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Behaviour {
     /// Runs them and answers.
     #[default]
     Answer,
-    /// Says that it did not start them.
+    /// Rejects them with the outcome `not_run`.
     NotRun,
-    /// Runs them and answers with an error of its own.
+    /// Runs them and answers with status 500.
     Fail,
     /// Runs them and closes the connection without an answer.
     RunAndClose,
@@ -39,27 +39,27 @@
 }
 
 #[derive(Debug)]
-struct State {
+struct ServiceState {
     behaviour: Cell<Behaviour>,
     runs: RefCell<BTreeMap<String, u32>>,
     bodies: RefCell<Vec<String>>,
-    arrived: Sender<()>,
-    arrivals: Receiver<()>,
-    hanging: Receiver<()>,
-    release: Sender<()>,
+    arrival_tx: Sender<()>,
+    arrival_rx: Receiver<()>,
+    release_tx: Sender<()>,
+    release_rx: Receiver<()>,
 }
 
-/// A running service.
+/// A running fake service.
 #[derive(Debug)]
 pub struct Service {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    state: Rc<State>,
-    _server: Server,
+    state: Rc<ServiceState>,
+    _server: HttpServer,
 }
 
 impl Service {
-    /// Starts a service.
+    /// Starts a service on a port chosen by the operating system.
     ///
     /// # Errors
     ///
@@ -68,81 +68,82 @@
         Self::start_at(executor, 0).await
     }
 
-    /// Starts a service on a port.
+    /// Starts a service on the given port.
     ///
     /// # Errors
     ///
     /// Fails if the port can't be bound.
     pub async fn start_at(executor: &Rc<LocalExecutor<'static>>, port: u16) -> io::Result<Self> {
-        let (arrived, arrivals) = channel::unbounded();
-        let (release, hanging) = channel::bounded(1);
-        let state = Rc::new(State {
+        let (arrival_tx, arrival_rx) = channel::unbounded();
+        let (release_tx, release_rx) = channel::bounded(1);
+        let state = Rc::new(ServiceState {
             behaviour: Cell::default(),
             runs: RefCell::default(),
             bodies: RefCell::default(),
-            arrived,
-            arrivals,
-            hanging,
-            release,
+            arrival_tx,
+            arrival_rx,
+            release_tx,
+            release_rx,
         });
         let shared = Rc::clone(&state);
         let server = server::serve(executor, port, move |req| answer(Rc::clone(&shared), req)).await?;
         Ok(Self { address: server.address, state, _server: server })
     }
 
-    /// Stops it: the listener and all connections close.
+    /// Closes the listener and all connections.
     pub fn stop(self) {
         drop(self);
     }
 
-    /// Changes what it does with requests that come from now on.
+    /// Sets the behaviour for further requests.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.state.behaviour.set(behaviour);
     }
 
-    /// Lets every hanging request be answered, now and from now on.
+    /// Answers all hanging requests; further ones no longer hang.
     pub fn release(&self) {
-        self.state.release.close();
+        self.state.release_tx.close();
     }
 
-    /// How often each request ran, by its key.
+    /// Number of runs of each request by idempotency key.
     #[must_use]
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.state.runs.borrow().clone()
     }
 
-    /// The bodies it ran, in order.
+    /// The bodies of the requests that ran, in order.
     #[must_use]
     pub fn bodies(&self) -> Vec<String> {
         self.state.bodies.borrow().clone()
     }
 
-    /// Waits until a further request has arrived.
+    /// Waits for the next request.
     pub async fn wait_for_request(&self) {
-        self.state.arrivals.recv().await.ok();
+        self.state.arrival_rx.recv().await.ok();
     }
 }
 
-async fn answer(state: Rc<State>, mut request: Request) -> http_types::Result<Response> {
+async fn answer(state: Rc<ServiceState>, mut request: Request) -> http_types::Result<Response> {
     let body = request.body_string().await?;
     let behaviour = state.behaviour.get();
-    let broken = || http_types::Error::from_str(StatusCode::InternalServerError, "closed on purpose");
+    let close =
+        || http_types::Error::from_str(StatusCode::InternalServerError, "connection closed by the fake");
     let runs = !matches!(behaviour, Behaviour::NotRun | Behaviour::Close);
     if runs {
         let key = header(&request, "Idempotency-Key");
         *state.runs.borrow_mut().entry(key).or_default() += 1;
         state.bodies.borrow_mut().push(body.clone());
     }
-    state.arrived.try_send(()).ok();
-    let ran =
+    state.arrival_tx.try_send(()).ok();
+    let reply =
         json!({ "path": request.url().path(), "call": header(&request, "Agatetrestle-Call"), "body": body });
     match behaviour {
-        Behaviour::Answer => Ok(server::json(StatusCode::Ok, &ran)),
-        Behaviour::Fail => Ok(server::json(StatusCode::InternalServerError, &ran)),
-        Behaviour::RunAndClose | Behaviour::Close => Err(broken()),
+        Behaviour::Answer => Ok(server::json(StatusCode::Ok, &reply)),
+        Behaviour::Fail => Ok(server::json(StatusCode::InternalServerError, &reply)),
+        Behaviour::RunAndClose | Behaviour::Close => Err(close()),
         Behaviour::Hang => {
-            state.hanging.recv().await.ok();
-            Ok(server::json(StatusCode::Ok, &ran))
+            state.release_rx.recv().await.ok();
+            Ok(server::json(StatusCode::Ok, &reply))
         }
         Behaviour::NotRun => {
             let mut response = Response::new(StatusCode::ServiceUnavailable);
--- a/agatetrestle_fakes/src/tool.rs
+++ b/agatetrestle_fakes/src/tool.rs
@@ -1,4 +1,4 @@
-//! A tool service: takes its time and answers with a result.
+//! A fake tool service that answers each call after a fixed delay.
 
 use std::cell::Cell;
 use std::io;
@@ -11,28 +11,28 @@
 use smol::LocalExecutor;
 
 use crate::server;
-use crate::server::Server;
+use crate::server::HttpServer;
 
-/// A running tool service.
+/// A running fake tool service.
 #[derive(Debug)]
 pub struct Tool {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     calls: Rc<Cell<u32>>,
-    _server: Server,
+    _server: HttpServer,
 }
 
 impl Tool {
-    /// Starts a tool service that takes `pause` for each call.
+    /// Starts a tool service that answers each call after `delay`.
     ///
     /// # Errors
     ///
     /// Fails if no port can be bound.
-    pub async fn start(executor: &Rc<LocalExecutor<'static>>, pause: Duration) -> io::Result<Self> {
-        Self::start_at(executor, 0, pause).await
+    pub async fn start(executor: &Rc<LocalExecutor<'static>>, delay: Duration) -> io::Result<Self> {
+        Self::start_at(executor, 0, delay).await
     }
 
-    /// Starts a tool service on a port.
+    /// Starts a tool service on the given port.
     ///
     /// # Errors
     ///
@@ -40,7 +40,7 @@
     pub async fn start_at(
         executor: &Rc<LocalExecutor<'static>>,
         port: u16,
-        pause: Duration,
+        delay: Duration,
     ) -> io::Result<Self> {
         let calls = Rc::new(Cell::new(0));
         let count = Rc::clone(&calls);
@@ -49,7 +49,7 @@
             async move {
                 let body = req.body_string().await?;
                 count.set(count.get() + 1);
-                server::pause(pause).await;
+                server::sleep(delay).await;
                 let result = json!({ "tool": req.url().path(), "result": "done", "input": body });
                 Ok(server::json(StatusCode::Ok, &result))
             }
@@ -58,12 +58,12 @@
         Ok(Self { address: server.address, calls, _server: server })
     }
 
-    /// Stops it: the listener and all connections close.
+    /// Closes the listener and all connections.
     pub fn stop(self) {
         drop(self);
     }
 
-    /// Calls taken so far.
+    /// Number of calls received.
     #[must_use]
     pub fn calls(&self) -> u32 {
         self.calls.get()
--- a/agatetrestle_fakes/src/vm_list.rs
+++ b/agatetrestle_fakes/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving VMs, which lags because it is changed by hand.
+//! A fake of the platform's list of live and leaving VMs.
 //!
 //! `GET` on any path answers `{"vms":[{"name":"vm-1","state":"live"}]}`; the other state is `leaving`.
 
@@ -13,42 +13,42 @@
 use smol::LocalExecutor;
 
 use crate::server;
-use crate::server::Server;
+use crate::server::HttpServer;
 
 /// State of a VM in the list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It is about to go.
+    /// The VM is about to be removed.
     Leaving,
 }
 
 #[derive(Serialize)]
-struct Line<'a> {
+struct VmEntry<'a> {
     name: &'a str,
     state: VmState,
 }
 
 #[derive(Serialize)]
-struct Listing<'a> {
-    vms: Vec<Line<'a>>,
+struct VmsBody<'a> {
+    vms: Vec<VmEntry<'a>>,
 }
 
 type Vms = Rc<RefCell<BTreeMap<String, VmState>>>;
 
-/// A running list.
+/// A running fake of the VM list.
 #[derive(Debug)]
 pub struct VmList {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     vms: Vms,
-    _server: Server,
+    _server: HttpServer,
 }
 
 impl VmList {
-    /// Starts an empty list.
+    /// Starts with an empty list.
     ///
     /// # Errors
     ///
@@ -64,12 +64,12 @@
         Ok(Self { address: server.address, vms, _server: server })
     }
 
-    /// Stops it: the listener and all connections close.
+    /// Closes the listener and all connections.
     pub fn stop(self) {
         drop(self);
     }
 
-    /// Sets the state of a VM, or takes it off the list.
+    /// Sets the state of a VM, or removes it from the list.
     pub fn set(&self, name: &str, state: Option<VmState>) {
         match state {
             Some(state) => self.vms.borrow_mut().insert(name.to_owned(), state),
@@ -79,6 +79,6 @@
 }
 
 fn listing(vms: &BTreeMap<String, VmState>) -> http_types::Response {
-    let vms = vms.iter().map(|(name, state)| Line { name, state: *state }).collect();
-    server::json(StatusCode::Ok, &Listing { vms })
+    let vms = vms.iter().map(|(name, state)| VmEntry { name, state: *state }).collect();
+    server::json(StatusCode::Ok, &VmsBody { vms })
 }
