--- a/agatetrestle/tests/callers.rs
+++ b/agatetrestle/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The caller's side end to end: model calls, service calls, resends and the outcomes told.
+//! End-to-end tests of the caller API: model calls, service calls, resends and reported outcomes.
 
 mod support;
 
@@ -28,79 +28,84 @@
 use serde_json::json;
 use smol::channel;
 
-use crate::support::Fault;
-use crate::support::Node;
-use crate::support::PARTNER;
+use crate::support::Harness;
+use crate::support::LedgerFault;
+use crate::support::PARTNER_DOCUMENT;
 use crate::support::PROGRAM;
-use crate::support::Rig;
-use crate::support::backend;
+use crate::support::TestNode;
+use crate::support::backend_entry;
 use crate::support::call;
-use crate::support::chat;
+use crate::support::chat_request;
 use crate::support::run;
 
 #[test]
-fn a_program_runs_from_open_to_end() {
+fn runs_a_program_from_open_to_end() {
     run(async |executor| {
         let engine = Engine::start(&executor, EngineConfig::default()).await.unwrap();
         let service = Service::start(&executor).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[service.address]);
-        let node = rig.node(1).await;
+        let harness = Harness::new(&executor, &[engine.address], &[service.address]);
+        let node = harness.start_node(1).await;
         assert_eq!(node.client.addresses(None).await.unwrap(), [node.client.address]);
-        rig.open(&node).await;
+        harness.open_program(&node).await;
 
-        let reply = node.client.chat(&call(1, "k1"), &chat()).await.unwrap();
+        let reply = node.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
         assert_eq!(reply.status, 200);
         assert!(reply.is_done());
         assert!(reply.text().starts_with("vrsta/dawn#1:0 vrsta/dawn#1:1 "));
-        let booked = node.client.service(&call(2, "k2"), "rota", "book?day=1", "ward 3", true).await.unwrap();
-        assert_eq!(booked.json()["body"], "ward 3");
+        let booking =
+            node.client.service(&call(2, "k2"), "rota", "book?day=1", "ward 3", true).await.unwrap();
+        assert_eq!(booking.json()["body"], "ward 3");
         assert_eq!(service.runs()["k2"], 1);
         let ended = node.client.end(PROGRAM).await.unwrap();
         let spent = 8 + engine.requests()[0].prompt_tokens;
         assert_eq!(ended.json()["spent"], spent);
         assert_eq!(ended.json()["reserved"], 0);
-        assert_eq!(rig.ledger.take_commands(), ["Open", "Begin", "Finish", "Begin", "Finish", "End"]);
+        assert_eq!(harness.ledger.take_commands(), ["Open", "Begin", "Finish", "Begin", "Finish", "End"]);
         assert_eq!(node.entry.in_flight(), 0);
     });
 }
 
 #[test]
-fn a_program_leaves_its_measures() {
+fn records_program_measurements() {
     run(async |executor| {
         let engine = Engine::start(&executor, EngineConfig::default()).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
-        let reply = node.client.chat(&call(1, "k1"), &chat()).await.unwrap();
+        let harness = Harness::new(&executor, &[engine.address], &[]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
+        let reply = node.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
         node.client.end(PROGRAM).await.unwrap();
         let events = String::from_utf8(reply.body).unwrap().matches("data: ").count();
-        let parts = events - 1; // The last event is told by the entry itself.
-        let recorder = &rig.recorder;
+        let streamed_parts = events - 1; // The entry itself sends the last event.
+        let recorder = &harness.recorder;
         assert_eq!(recorder.count(|m| matches!(m, Measurement::FirstToken(_))), 1);
-        assert_eq!(recorder.count(|m| matches!(m, Measurement::BetweenTokens(_))), parts - 1);
+        assert_eq!(recorder.count(|m| matches!(m, Measurement::BetweenTokens(_))), streamed_parts - 1);
         assert_eq!(recorder.count(|m| *m == Measurement::Tokens(8)), 1);
-        for each in [
+        for is_latency in [
             |m: &Measurement| matches!(m, Measurement::ProgramLatency(_)),
             |m: &Measurement| matches!(m, Measurement::QueueWait(_)),
             |m: &Measurement| matches!(m, Measurement::AddedTime(_)),
         ] {
-            assert_eq!(recorder.count(each), 1);
+            assert_eq!(recorder.count(is_latency), 1);
         }
-        assert_eq!(recorder.count(|m| matches!(m, Measurement::Commit(_))), 2, "the begin and the finish");
+        assert_eq!(
+            recorder.count(|m| matches!(m, Measurement::Commit(_))),
+            2,
+            "one commit each for `Begin` and `Finish`"
+        );
     });
 }
 
 #[test]
-fn a_resend_on_another_node_gets_the_stored_answer() {
+fn returns_stored_answers_from_any_node() {
     run(async |executor| {
         let engine = Engine::start(&executor, EngineConfig::default()).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[]);
-        let (first, second) = (rig.node(1).await, rig.node(2).await);
-        rig.open(&first).await;
-        let reply = first.client.chat(&call(1, "k1"), &chat()).await.unwrap();
-        let again = second.client.chat(&call(1, "k1"), &chat()).await.unwrap();
+        let harness = Harness::new(&executor, &[engine.address], &[]);
+        let (first, second) = (harness.start_node(1).await, harness.start_node(2).await);
+        harness.open_program(&first).await;
+        let reply = first.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
+        let resent = second.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
         let fetched = second.client.answer(PROGRAM, "k1").await.unwrap();
-        assert_eq!(again.body, reply.body);
+        assert_eq!(resent.body, reply.body);
         assert_eq!(fetched.body, reply.body);
         assert_eq!(fetched.content_type, "text/event-stream");
         assert_eq!(engine.requests().len(), 1);
@@ -112,58 +117,58 @@
 }
 
 #[test]
-fn the_end_of_a_stream_comes_only_after_the_answer_is_stored() {
+fn ends_streams_after_storing_the_answer() {
     run(async |executor| {
         let engine = Engine::start(&executor, EngineConfig::default()).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
-        rig.ledger.holding.set(true);
-        let told = Rc::new(RefCell::new(String::new()));
-        let (client, seen) = (node.client, Rc::clone(&told));
+        let harness = Harness::new(&executor, &[engine.address], &[]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
+        harness.ledger.block_finishes.set(true);
+        let received = Rc::new(RefCell::new(String::new()));
+        let (client, progress) = (node.client, Rc::clone(&received));
         let chatting = executor.spawn(async move {
-            let watch = |bytes: &[u8]| seen.borrow_mut().push_str(&String::from_utf8_lossy(bytes));
-            client.chat_with_progress(&call(1, "k1"), &chat(), watch).await
+            let watch = |bytes: &[u8]| progress.borrow_mut().push_str(&String::from_utf8_lossy(bytes));
+            client.chat_with_progress(&call(1, "k1"), &chat_request(), watch).await
         });
-        while rig.ledger.held.get() == 0 || !told.borrow().contains("#1:7 ") {
+        while harness.ledger.received_finishes.get() == 0 || !received.borrow().contains("#1:7 ") {
             smol::future::yield_now().await;
         }
         node.client.addresses(None).await.unwrap();
-        assert!(!told.borrow().contains("[DONE]"), "nothing is stored yet");
-        assert_eq!(rig.ledger.program(PROGRAM).last.map(|last| last.1), Some(CallState::Open));
-        rig.ledger.holding.set(false);
+        assert!(!received.borrow().contains("[DONE]"), "the stream ended before its answer was stored");
+        assert_eq!(harness.ledger.program(PROGRAM).last.map(|last| last.1), Some(CallState::Open));
+        harness.ledger.block_finishes.set(false);
         assert!(chatting.await.unwrap().is_done());
-        assert_eq!(rig.ledger.program(PROGRAM).last.map(|last| last.1), Some(CallState::Finished));
+        assert_eq!(harness.ledger.program(PROGRAM).last.map(|last| last.1), Some(CallState::Finished));
     });
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_runs_once_when_its_answer_is_lost() {
+fn never_retries_non_repeatable_calls() {
     run(async |executor| {
         let service = Service::start(&executor).await.unwrap();
-        let rig = Rig::new(&executor, &[], &[service.address]);
-        let (first, second) = (rig.node(1).await, rig.node(2).await);
-        rig.open(&first).await;
+        let harness = Harness::new(&executor, &[], &[service.address]);
+        let (first, second) = (harness.start_node(1).await, harness.start_node(2).await);
+        harness.open_program(&first).await;
         service.set_behaviour(Behaviour::RunAndClose);
         let reply = first.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
         assert_eq!((reply.status, &reply.json()["outcome"]), (502, &json!("unknown")));
         service.set_behaviour(Behaviour::Answer);
-        let again = second.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
-        assert_eq!((again.status, &again.json()["reason"]), (409, &json!("in_doubt")));
+        let retried = second.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
+        assert_eq!((retried.status, &retried.json()["reason"]), (409, &json!("in_doubt")));
         assert_eq!(service.runs()["k1"], 1);
     });
 }
 
 #[test]
-fn the_caller_may_only_ask_for_the_stricter_rule() {
+fn callers_can_only_disable_retries() {
     run(async |executor| {
         let service = Service::start(&executor).await.unwrap();
-        let rig = Rig::new(&executor, &[], &[service.address]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
+        let harness = Harness::new(&executor, &[], &[service.address]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
         service.set_behaviour(Behaviour::RunAndClose);
         node.client.service(&call(1, "loose"), "search", "find", "", true).await.unwrap();
-        assert_eq!(service.runs()["loose"], 3, "the baseline makes three attempts");
+        assert_eq!(service.runs()["loose"], 3, "round robin makes three attempts");
         service.set_behaviour(Behaviour::Answer);
         node.client.service(&call(1, "loose"), "search", "find", "", true).await.unwrap();
         service.set_behaviour(Behaviour::RunAndClose);
@@ -173,123 +178,123 @@
 }
 
 #[test]
-fn an_answer_that_reports_an_error_is_an_answer() {
+fn stores_error_responses_as_answers() {
     run(async |executor| {
         let service = Service::start(&executor).await.unwrap();
-        let rig = Rig::new(&executor, &[], &[service.address]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
+        let harness = Harness::new(&executor, &[], &[service.address]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
         service.set_behaviour(Behaviour::Fail);
         let failed = node.client.service(&call(1, "k1"), "rota", "book", "ward 3", true).await.unwrap();
         assert_eq!((failed.status, &failed.json()["body"]), (500, &json!("ward 3")));
         service.set_behaviour(Behaviour::Answer);
-        let again = node.client.service(&call(1, "k1"), "rota", "book", "ward 3", true).await.unwrap();
-        assert_eq!((again.status, again.body), (500, failed.body));
+        let retried = node.client.service(&call(1, "k1"), "rota", "book", "ward 3", true).await.unwrap();
+        assert_eq!((retried.status, retried.body), (500, failed.body));
         assert_eq!(service.runs()["k1"], 1);
     });
 }
 
 #[test]
-fn not_run_is_told_only_where_nothing_was_started() {
+fn reports_not_run_only_if_nothing_started() {
     run(async |executor| {
         let service = Service::start(&executor).await.unwrap();
-        let gone = Service::start(&executor).await.unwrap();
-        let rig = Rig::new(&executor, &[], &[gone.address]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
-        gone.set_behaviour(Behaviour::NotRun);
+        let backend = Service::start(&executor).await.unwrap();
+        let harness = Harness::new(&executor, &[], &[backend.address]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
+        backend.set_behaviour(Behaviour::NotRun);
         let refused = node.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
         assert_eq!((refused.status, &refused.json()["outcome"]), (503, &json!("not_run")));
         assert!(refused.retry_after.is_some());
-        gone.stop();
+        backend.stop();
         let unreachable = node.client.service(&call(1, "k2"), "rota", "book", "", true).await.unwrap();
         assert_eq!((unreachable.status, &unreachable.json()["outcome"]), (503, &json!("not_run")));
-        let view = rig.ledger.program(PROGRAM);
+        let view = harness.ledger.program(PROGRAM);
         assert_eq!((view.next_call.0, view.reserved), (1, 0));
         drop(service);
     });
 }
 
-/// What an attempt that broke off is charged for its prompt.
-fn lost_cost(form: &serde_json::Value) -> u64 {
-    let prompt = serde_json::to_vec(&[None, form.get("messages")]).unwrap();
+/// Prompt tokens charged for an attempt whose stream broke off.
+fn estimate_prompt_tokens(request: &serde_json::Value) -> u64 {
+    let prompt = serde_json::to_vec(&[None, request.get("messages")]).unwrap();
     u64::from(prefix::estimate_tokens(&prompt))
 }
 
 #[test]
-fn a_broken_stream_is_told_and_its_retry_is_given_whole() {
+fn reports_broken_streams_and_retries_in_full() {
     run(async |executor| {
         let engine = Engine::start(&executor, EngineConfig::default()).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
+        let harness = Harness::new(&executor, &[engine.address], &[]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
         engine.break_next(1);
-        let broken = node.client.chat(&call(1, "k1"), &chat()).await.unwrap();
+        let broken = node.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
         assert!(!broken.is_done());
         assert!(broken.events().last().unwrap().contains("broke_off"));
         while node.entry.in_flight() > 0 {
             smol::future::yield_now().await;
         }
-        let again = node.client.chat(&call(1, "k1"), &chat()).await.unwrap();
-        assert!(again.is_done());
-        assert_eq!(again.text().matches("vrsta/dawn#1:").count(), 8);
+        let retried = node.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
+        assert!(retried.is_done());
+        assert_eq!(retried.text().matches("vrsta/dawn#1:").count(), 8);
         let requests = engine.requests();
         assert_eq!(requests.len(), 2);
-        let spent = rig.ledger.program(PROGRAM).spent;
+        let spent = harness.ledger.program(PROGRAM).spent;
         assert_eq!(
             spent,
-            requests[1].prompt_tokens + 8 + lost_cost(&chat()) + 2,
-            "both attempts are charged"
+            requests[1].prompt_tokens + 8 + estimate_prompt_tokens(&chat_request()) + 2,
+            "both attempts must be charged"
         );
     });
 }
 
 #[test]
-fn no_further_attempt_is_made_beyond_the_budget() {
+fn makes_no_attempt_beyond_the_budget() {
     run(async |executor| {
         let engine = Engine::start(&executor, EngineConfig::default()).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[]);
-        let node = rig.node(1).await;
-        let budget = 2 * lost_cost(&chat()) + 8;
-        let form = json!({ "partner": "vrsta", "team": "dawn", "class": "assistant", "name": "dawn", "budget": budget });
-        node.client.open("open-1", &form).await.unwrap();
+        let harness = Harness::new(&executor, &[engine.address], &[]);
+        let node = harness.start_node(1).await;
+        let budget = 2 * estimate_prompt_tokens(&chat_request()) + 8;
+        let request = json!({ "partner": "vrsta", "team": "dawn", "class": "assistant", "name": "dawn", "budget": budget });
+        node.client.open("open-1", &request).await.unwrap();
         engine.break_next(1);
-        let broken = node.client.chat(&call(1, "k1"), &chat()).await.unwrap();
+        let broken = node.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
         assert!(!broken.is_done());
         while node.entry.in_flight() > 0 {
             smol::future::yield_now().await;
         }
         assert_eq!(engine.requests().len(), 1);
-        let refused = node.client.chat(&call(1, "k1"), &chat()).await.unwrap();
+        let refused = node.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
         assert_eq!((refused.status, &refused.json()["reason"]), (409, &json!("budget")));
         assert_eq!(engine.requests().len(), 1);
-        assert!(rig.ledger.program(PROGRAM).spent <= budget);
+        assert!(harness.ledger.program(PROGRAM).spent <= budget);
     });
 }
 
 #[test]
-fn a_caller_that_goes_away_cancels_its_model_call_and_can_come_back() {
+fn cancels_model_calls_on_disconnect() {
     run(async |executor| {
         let (permits, gate) = channel::unbounded();
         let config = EngineConfig { gate: Some(gate), ..EngineConfig::default() };
         let engine = Engine::start(&executor, config).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[]);
-        let (first, second) = (rig.node(1).await, rig.node(2).await);
-        rig.open(&first).await;
+        let harness = Harness::new(&executor, &[engine.address], &[]);
+        let (first, second) = (harness.start_node(1).await, harness.start_node(2).await);
+        harness.open_program(&first).await;
         permits.send(()).await.unwrap();
-        let (seen_tx, seen) = channel::unbounded();
+        let (progress_tx, progress) = channel::unbounded();
         let client = first.client;
         let chatting = executor.spawn(async move {
-            let watch = |_: &[u8]| seen_tx.try_send(()).unwrap_or_default();
-            client.chat_with_progress(&call(1, "k1"), &chat(), watch).await.map(|_| ())
+            let watch = |_: &[u8]| progress_tx.try_send(()).unwrap_or_default();
+            client.chat_with_progress(&call(1, "k1"), &chat_request(), watch).await.map(|_| ())
         });
-        seen.recv().await.unwrap();
+        progress.recv().await.unwrap();
         drop(chatting);
         while first.entry.in_flight() > 0 {
             smol::future::yield_now().await;
         }
         permits.close();
-        let reply = second.client.chat(&call(1, "k1"), &chat()).await.unwrap();
+        let reply = second.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
         assert!(reply.is_done());
         while engine.running() > 0 {
             smol::future::yield_now().await;
@@ -299,12 +304,12 @@
 }
 
 #[test]
-fn a_booking_goes_on_when_its_caller_goes_away() {
+fn finishes_service_calls_after_disconnect() {
     run(async |executor| {
         let service = Service::start(&executor).await.unwrap();
-        let rig = Rig::new(&executor, &[], &[service.address]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
+        let harness = Harness::new(&executor, &[], &[service.address]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
         service.set_behaviour(Behaviour::Hang);
         let client = node.client;
         let booking = executor
@@ -314,8 +319,8 @@
         while node.entry.in_flight() > 1 {
             smol::future::yield_now().await;
         }
-        let busy = node.client.answer(PROGRAM, "k1").await.unwrap();
-        assert_eq!((busy.status, &busy.json()["reason"]), (409, &json!("in_progress")));
+        let pending = node.client.answer(PROGRAM, "k1").await.unwrap();
+        assert_eq!((pending.status, &pending.json()["reason"]), (409, &json!("in_progress")));
         service.release();
         while node.entry.in_flight() > 0 {
             smol::future::yield_now().await;
@@ -327,14 +332,14 @@
 }
 
 #[test]
-fn a_silent_connection_is_unknown_to_a_booking_and_retried_for_a_search() {
+fn retries_timeouts_of_repeatable_calls_only() {
     run(async |executor| {
         let service = Service::start(&executor).await.unwrap();
         let forwarder = Forwarder::start(&executor, service.address).await.unwrap();
-        let rig = Rig::new(&executor, &[], &[forwarder.address]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
-        let patience = Duration::from_secs(10);
+        let harness = Harness::new(&executor, &[], &[forwarder.address]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
+        let timeout = Duration::from_secs(10);
         for (number, key, name) in [(1, "k1", "search"), (2, "k2", "rota")] {
             forwarder.blackhole_new(true);
             let before = forwarder.dropped_bytes();
@@ -346,65 +351,70 @@
             }
             forwarder.blackhole_new(false);
             for _ in 0..8 {
-                rig.timer.armed(patience / 8).await;
-                rig.timer.advance(patience / 8);
+                harness.timer.wait_for_sleep(timeout / 8).await;
+                harness.timer.advance(timeout / 8);
             }
             let reply = calling.await.unwrap();
             let outcome = if name == "search" { (200, json!(null)) } else { (502, json!("unknown")) };
             assert_eq!((reply.status, reply.json()["outcome"].clone()), outcome);
         }
         assert_eq!(service.runs().get("k1"), Some(&1));
-        assert_eq!(service.runs().get("k2"), None, "nobody could know that");
+        assert_eq!(service.runs().get("k2"), None, "the forwarder dropped the request");
     });
 }
 
 #[test]
-fn faults_of_the_ledger_are_told_truly() {
+fn reports_outcomes_under_ledger_faults() {
     run(async |executor| {
         let service = Service::start(&executor).await.unwrap();
-        let rig = Rig::new(&executor, &[], &[service.address]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
-        rig.ledger.fail(&[Fault::NotProposed]);
+        let harness = Harness::new(&executor, &[], &[service.address]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
+        harness.ledger.inject(&[LedgerFault::NotProposed]);
         let refused = node.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
         assert_eq!((refused.status, &refused.json()["outcome"]), (503, &json!("not_run")));
-        rig.ledger.fail(&[Fault::ReplyLost, Fault::ReplyLost]);
-        let unsent = node.client.service(&call(1, "k2"), "rota", "book", "", true).await.unwrap();
-        assert_eq!((unsent.status, &unsent.json()["outcome"]), (503, &json!("not_run")));
+        harness.ledger.inject(&[LedgerFault::ReplyLost, LedgerFault::ReplyLost]);
+        let not_sent = node.client.service(&call(1, "k2"), "rota", "book", "", true).await.unwrap();
+        assert_eq!((not_sent.status, &not_sent.json()["outcome"]), (503, &json!("not_run")));
         assert!(service.runs().is_empty());
-        assert_eq!(rig.ledger.take_commands(), ["Open", "Begin", "Begin", "NotRun"]);
+        assert_eq!(harness.ledger.take_commands(), ["Open", "Begin", "Begin", "NotRun"]);
 
-        rig.ledger.fail(&[Fault::ReplyLost]);
-        let booked = node.client.service(&call(1, "k3"), "rota", "book", "", true).await.unwrap();
-        assert_eq!(booked.status, 200, "{}", booked.json());
-        assert_eq!(rig.ledger.take_commands(), ["Begin", "Begin", "Finish"]);
+        harness.ledger.inject(&[LedgerFault::ReplyLost]);
+        let booking = node.client.service(&call(1, "k3"), "rota", "book", "", true).await.unwrap();
+        assert_eq!(booking.status, 200, "{}", booking.json());
+        assert_eq!(harness.ledger.take_commands(), ["Begin", "Begin", "Finish"]);
         assert_eq!(service.runs()["k3"], 1);
     });
 }
 
 #[test]
-fn a_resend_is_never_told_not_run_on_a_guess() {
+fn never_reports_unverified_resends_as_not_run() {
     run(async |executor| {
         let service = Service::start(&executor).await.unwrap();
-        let rig = Rig::new(&executor, &[], &[service.address]);
-        let (first, second) = (rig.node(1).await, rig.node(2).await);
-        rig.open(&first).await;
-        let book =
-            async |node: &Node| node.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap();
-        let booked = book(&first).await;
-        rig.control.taking.set(Err(NotTakingWork::Isolated));
-        assert_eq!(book(&second).await.body, booked.body, "an answer is given although no work is taken");
-        rig.ledger.silent.set(true);
-        let blind = book(&second).await;
+        let harness = Harness::new(&executor, &[], &[service.address]);
+        let (first, second) = (harness.start_node(1).await, harness.start_node(2).await);
+        harness.open_program(&first).await;
+        let book = async |node: &TestNode| {
+            node.client.service(&call(1, "k1"), "rota", "book", "", true).await.unwrap()
+        };
+        let booking = book(&first).await;
+        harness.control.taking_work.set(Err(NotTakingWork::Isolated));
+        assert_eq!(
+            book(&second).await.body,
+            booking.body,
+            "stored answers are returned while the node takes no work"
+        );
+        harness.ledger.fail_queries.set(true);
+        let unverified = book(&second).await;
         assert_eq!(
-            (&blind.json()["outcome"], &blind.json()["reason"]),
+            (&unverified.json()["outcome"], &unverified.json()["reason"]),
             (&json!("unknown"), &json!("isolated"))
         );
-        rig.control.taking.set(Ok(()));
-        rig.ledger.fail(&[Fault::NotProposed]);
-        let cut_off = book(&second).await;
+        harness.control.taking_work.set(Ok(()));
+        harness.ledger.inject(&[LedgerFault::NotProposed]);
+        let no_quorum = book(&second).await;
         assert_eq!(
-            (&cut_off.json()["outcome"], &cut_off.json()["reason"]),
+            (&no_quorum.json()["outcome"], &no_quorum.json()["reason"]),
             (&json!("unknown"), &json!("ledger"))
         );
         assert_eq!(service.runs()["k1"], 1);
@@ -412,67 +422,68 @@
 }
 
 #[test]
-fn a_stopping_node_refuses_new_work_and_finishes_its_streams() {
+fn stopping_node_finishes_open_streams() {
     run(async |executor| {
         let (permits, gate) = channel::unbounded();
         let config = EngineConfig { gate: Some(gate), ..EngineConfig::default() };
         let engine = Engine::start(&executor, config).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
+        let harness = Harness::new(&executor, &[engine.address], &[]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
         permits.send(()).await.unwrap();
-        let (seen_tx, seen) = channel::unbounded();
+        let (progress_tx, progress) = channel::unbounded();
         let client = node.client;
         let chatting = executor.spawn(async move {
-            let watch = |_: &[u8]| seen_tx.try_send(()).unwrap_or_default();
-            client.chat_with_progress(&call(1, "k1"), &chat(), watch).await
+            let watch = |_: &[u8]| progress_tx.try_send(()).unwrap_or_default();
+            client.chat_with_progress(&call(1, "k1"), &chat_request(), watch).await
         });
-        seen.recv().await.unwrap();
+        progress.recv().await.unwrap();
         node.entry.stopping.set(true);
-        let refused = node.client.chat(&call(2, "k2"), &chat()).await.unwrap();
+        let refused = node.client.chat(&call(2, "k2"), &chat_request()).await.unwrap();
         assert_eq!((refused.status, &refused.json()["reason"]), (503, &json!("stopping")));
         assert_eq!(refused.json()["outcome"], "not_run");
         permits.close();
         assert!(chatting.await.unwrap().is_done());
         let stored = node.client.answer(PROGRAM, "k1").await.unwrap();
-        assert_eq!(stored.status, 200, "stored answers are still given");
+        assert_eq!(stored.status, 200, "a stopping node must return stored answers");
     });
 }
 
 #[test]
-fn an_isolated_node_refuses_with_its_reason() {
+fn isolated_node_refuses_with_a_reason() {
     run(async |executor| {
-        let rig = Rig::new(&executor, &[], &[]);
-        let node = rig.node(1).await;
-        rig.control.taking.set(Err(NotTakingWork::Isolated));
-        let form = json!({ "partner": "vrsta", "team": "dawn", "class": "assistant" });
-        let refused = node.client.open("k", &form).await.unwrap();
+        let harness = Harness::new(&executor, &[], &[]);
+        let node = harness.start_node(1).await;
+        harness.control.taking_work.set(Err(NotTakingWork::Isolated));
+        let request = json!({ "partner": "vrsta", "team": "dawn", "class": "assistant" });
+        let refused = node.client.open("k", &request).await.unwrap();
         assert_eq!((refused.status, &refused.json()["reason"]), (503, &json!("isolated")));
-        assert_eq!(*rig.recorder.refused.borrow(), ["isolated"]);
+        assert_eq!(*harness.recorder.refusals.borrow(), ["isolated"]);
     });
 }
 
 #[test]
-fn a_leaving_backend_server_gets_no_new_call() {
+fn sends_no_calls_to_leaving_backend_servers() {
     run(async |executor| {
-        let (one, two) = (Service::start(&executor).await.unwrap(), Service::start(&executor).await.unwrap());
-        let rig = Rig::new(&executor, &[], &[one.address, two.address]);
-        let node = rig.node(1).await;
-        rig.open(&node).await;
-        rig.control.leave("rota-0");
+        let (leaving, remaining) =
+            (Service::start(&executor).await.unwrap(), Service::start(&executor).await.unwrap());
+        let harness = Harness::new(&executor, &[], &[leaving.address, remaining.address]);
+        let node = harness.start_node(1).await;
+        harness.open_program(&node).await;
+        harness.control.mark_leaving("rota-0");
         for number in 1..=6 {
             let key = format!("k{number}");
             let reply = node.client.service(&call(number, &key), "rota", "book", "", true).await.unwrap();
             assert_eq!(reply.status, 200);
         }
-        assert_eq!((one.runs().len(), two.runs().len()), (0, 6));
+        assert_eq!((leaving.runs().len(), remaining.runs().len()), (0, 6));
     });
 }
 
-/// Turns every call away.
-struct Overloaded;
+/// Refuses every call as overload.
+struct OverloadedScheduler;
 
-impl Scheduler for Overloaded {
+impl Scheduler for OverloadedScheduler {
     fn step(&mut self, _: Timestamp, event: Event) -> Decisions {
         let mut decisions = Decisions::default();
         if let Event::Submit(call) = event {
@@ -500,45 +511,52 @@
 }
 
 #[test]
-fn a_call_that_is_turned_away_costs_no_commit() {
+fn refused_calls_cost_no_commit() {
     run(async |executor| {
         let engine = Engine::start(&executor, EngineConfig::default()).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[]);
-        let (busy, free) = (rig.node_with(1, Box::new(Overloaded)).await, rig.node(2).await);
-        rig.open(&busy).await;
-        rig.ledger.take_commands();
-        let refused = busy.client.chat(&call(1, "k1"), &chat()).await.unwrap();
+        let harness = Harness::new(&executor, &[engine.address], &[]);
+        let (overloaded, other) =
+            (harness.start_node_with(1, Box::new(OverloadedScheduler)).await, harness.start_node(2).await);
+        harness.open_program(&overloaded).await;
+        harness.ledger.take_commands();
+        let refused = overloaded.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
         assert_eq!((refused.status, &refused.json()["reason"]), (503, &json!("overload")));
         assert_eq!((&refused.json()["outcome"], refused.retry_after), (&json!("not_run"), Some(7)));
-        assert!(rig.ledger.take_commands().is_empty());
+        assert!(harness.ledger.take_commands().is_empty());
 
-        let reply = free.client.chat(&call(1, "k1"), &chat()).await.unwrap();
+        let reply = other.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
         assert!(reply.is_done());
-        let resent = busy.client.chat(&call(1, "k1"), &chat()).await.unwrap();
-        assert_eq!(resent.body, reply.body, "what ran elsewhere is never told as not run");
-        assert!(rig.ledger.take_commands().len() == 2, "one begin and one finish");
+        let resent = overloaded.client.chat(&call(1, "k1"), &chat_request()).await.unwrap();
+        assert_eq!(
+            resent.body, reply.body,
+            "a call that ran on another node must not be reported as not run"
+        );
+        assert!(harness.ledger.take_commands().len() == 2, "one `Begin` and one `Finish`");
     });
 }
 
 #[test]
-fn what_a_partner_declares_reaches_only_its_own_calls() {
+fn isolates_services_between_partners() {
     run(async |executor| {
-        let (ours, theirs) =
+        let (vrsta, lernwerk) =
             (Service::start(&executor).await.unwrap(), Service::start(&executor).await.unwrap());
-        let own = |service: &Service| {
-            let servers = backend("rota-1", "service", service.address, "rota");
-            format!("{PARTNER}services: {{ rota: {{}} }}\nbackend_servers:\n{servers}")
+        let document = |service: &Service| {
+            let servers = backend_entry("rota-1", "service", service.address, "rota");
+            format!("{PARTNER_DOCUMENT}services: {{ rota: {{}} }}\nbackend_servers:\n{servers}")
         };
-        let rig = Rig::declaring(&executor, &[("lernwerk", own(&theirs)), ("vrsta", own(&ours))]);
-        let node = rig.node(1).await;
+        let harness = Harness::with_documents(
+            &executor,
+            &[("lernwerk", document(&lernwerk)), ("vrsta", document(&vrsta))],
+        );
+        let node = harness.start_node(1).await;
         for partner in ["vrsta", "lernwerk"] {
-            let form = json!({ "partner": partner, "team": "dawn", "class": "assistant", "name": "dawn" });
-            node.client.open(partner, &form).await.unwrap();
+            let request = json!({ "partner": partner, "team": "dawn", "class": "assistant", "name": "dawn" });
+            node.client.open(partner, &request).await.unwrap();
             let call = Call { program: format!("{partner}/dawn"), number: 1, key: partner.to_owned() };
             let reply = node.client.service(&call, "rota", "book", "", true).await.unwrap();
             assert_eq!(reply.status, 200, "{}", reply.json());
         }
-        assert_eq!(ours.runs().into_keys().collect::<Vec<_>>(), ["vrsta"]);
-        assert_eq!(theirs.runs().into_keys().collect::<Vec<_>>(), ["lernwerk"]);
+        assert_eq!(vrsta.runs().into_keys().collect::<Vec<_>>(), ["vrsta"]);
+        assert_eq!(lernwerk.runs().into_keys().collect::<Vec<_>>(), ["lernwerk"]);
     });
 }
--- a/agatetrestle/tests/cluster/mod.rs
+++ b/agatetrestle/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! Nodes as tasks of one thread, each on an executor of its own so that one can be lost.
+//! Runs nodes as tasks of one thread, each on its own executor so that it can be killed.
 //!
-//! Waiting is for events with a generous bound: a bound that is hit is a failure, never a verdict on speed.
+//! Tests wait for events with generous timeouts; they make no assertions about speed.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -24,31 +24,31 @@
 use smol::Task;
 use smol::Timer;
 
-const POLL: Duration = Duration::from_millis(5);
-/// Tries of a call, each of which may take several seconds itself.
-const TRIES: u32 = 200;
-const EVENT_WITHIN: Duration = Duration::from_mins(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// A single attempt may take several seconds.
+const MAX_ATTEMPTS: u32 = 200;
+const EVENT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A node that runs until it is lost.
-pub struct Running {
+/// A node and the task that drives it.
+pub struct RunningNode {
     pub node: Rc<Node>,
-    runner: Task<()>,
+    task: Task<()>,
 }
 
-/// Nodes with their folders.
-pub struct Cluster {
+/// Nodes with their data folders and the forwarders between them.
+pub struct TestCluster {
     executor: Rc<LocalExecutor<'static>>,
     folder: PathBuf,
     peers: RefCell<Vec<PeerSeed>>,
-    nodes: RefCell<Vec<(u64, Running)>>,
-    /// Bytes of commands after which nodes started from now on take a snapshot.
+    nodes: RefCell<Vec<(u64, RunningNode)>>,
+    /// Bytes of commands between snapshots, for nodes started after it is set.
     pub snapshot_after: Cell<u64>,
-    /// What stands between two nodes, by who connects to whom.
+    /// Forwarders by the ids of the connecting and the accepting node.
     forwarders: RefCell<BTreeMap<(u64, u64), Forwarder>>,
 }
 
-impl Cluster {
-    /// An empty cluster in a temporary folder of that name.
+impl TestCluster {
+    /// An empty cluster with a temporary folder named after `name`.
     pub fn new(executor: &Rc<LocalExecutor<'static>>, name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("agatetrestle-{name}-{}", std::process::id()));
         let executor = executor.clone();
@@ -62,17 +62,17 @@
         }
     }
 
-    /// Starts the founding nodes, numbered from 1, each with a replica of every group.
-    pub async fn found(&self, count: u64) {
-        self.found_with(count, false).await;
+    /// Starts nodes numbered from 1, each with a replica of every group.
+    pub async fn bootstrap(&self, count: u64) {
+        self.bootstrap_nodes(count, false).await;
     }
 
-    /// As [`Cluster::found`], with a forwarder on the way from each node to each other.
-    pub async fn found_behind_forwarders(&self, count: u64) {
-        self.found_with(count, true).await;
+    /// As [`TestCluster::bootstrap`], with a forwarder for each ordered pair of nodes.
+    pub async fn bootstrap_with_forwarders(&self, count: u64) {
+        self.bootstrap_nodes(count, true).await;
     }
 
-    async fn found_with(&self, count: u64, forwarded: bool) {
+    async fn bootstrap_nodes(&self, count: u64, forwarded: bool) {
         let mut bound = Vec::new();
         for id in 1..=count {
             bound.push((id, self.bind(id).await));
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Starts a node on new addresses.
+    /// Starts a node on newly bound ports.
     pub async fn start(&self, id: u64, missing: MissingFiles) -> Result<(), NodeError> {
         let listeners = self.bind(id).await;
         self.start_on(id, listeners, missing).await
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Cuts a node off without a word: every byte from and to it is swallowed, on old and new connections.
+    /// Drops all bytes from and to a node without closing connections, on existing and new ones.
     pub fn isolate(&self, id: u64) {
         for ((from, to), forwarder) in &*self.forwarders.borrow() {
             if *from == id || *to == id {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Ends a cut; what was open during it stays silent.
+    /// Lets new connections through and drops all bytes on existing ones.
     pub fn heal(&self) {
         for forwarder in self.forwarders.borrow().values() {
             forwarder.blackhole_new(false);
@@ -131,11 +131,12 @@
     }
 
     async fn start_on(&self, id: u64, listeners: Listeners, missing: MissingFiles) -> Result<(), NodeError> {
-        let own = Rc::new(LocalExecutor::new());
+        let node_executor = Rc::new(LocalExecutor::new());
         let settings = self.settings(id);
-        let node = own.run(Node::start(settings, listeners, own.clone(), missing)).await?;
-        let runner = self.executor.spawn(async move { own.run(std::future::pending::<()>()).await });
-        self.nodes.borrow_mut().push((id, Running { node, runner }));
+        let node =
+            node_executor.run(Node::start(settings, listeners, node_executor.clone(), missing)).await?;
+        let task = self.executor.spawn(async move { node_executor.run(std::future::pending::<()>()).await });
+        self.nodes.borrow_mut().push((id, RunningNode { node, task }));
         Ok(())
     }
 
@@ -156,71 +157,67 @@
         settings
     }
 
-    /// Where a node keeps its files.
     pub fn data_folder(&self, id: u64) -> PathBuf {
         self.folder.join(format!("node-{id}"))
     }
 
-    /// Loses a node as a crash would; its files stay.
-    pub async fn lose(&self, id: u64) {
+    /// Stops a node as a crash would; its files stay.
+    pub async fn kill(&self, id: u64) {
         let position = self.nodes.borrow().iter().position(|(node, _)| *node == id).unwrap();
         let (_, running) = self.nodes.borrow_mut().remove(position);
         running.node.kill().await;
-        running.runner.cancel().await;
+        running.task.cancel().await;
     }
 
-    /// Loses a node's files as a lost disk would.
-    pub fn lose_files(&self, id: u64) {
+    /// Deletes a node's files as a lost disk would.
+    pub fn delete_files(&self, id: u64) {
         std::fs::remove_dir_all(self.data_folder(id)).unwrap();
     }
 
-    /// The running nodes.
     pub fn nodes(&self) -> Vec<Rc<Node>> {
         self.nodes.borrow().iter().map(|(_, running)| running.node.clone()).collect()
     }
 
-    /// A running node.
+    /// Panics unless the node runs.
     pub fn node(&self, id: u64) -> Rc<Node> {
         let nodes = self.nodes.borrow();
         nodes.iter().find(|(node, _)| *node == id).unwrap().1.node.clone()
     }
 
-    /// Waits until a condition holds.
-    pub async fn until(&self, what: &str, condition: impl Fn() -> bool) {
+    pub async fn wait_until(&self, description: &str, condition: impl Fn() -> bool) {
         let mut waited = Duration::ZERO;
         while !condition() {
-            assert!(waited < EVENT_WITHIN, "{what} did not happen");
-            Timer::after(POLL).await;
-            waited += POLL;
+            assert!(waited < EVENT_TIMEOUT, "timed out waiting for {description}");
+            Timer::after(POLL_INTERVAL).await;
+            waited += POLL_INTERVAL;
         }
     }
 
-    /// Waits until every running node takes work.
-    pub async fn until_taking_work(&self) {
+    pub async fn wait_until_taking_work(&self) {
         let ready = || self.nodes().iter().all(|node| node.control().taking_work().is_ok());
-        self.until("taking work", ready).await;
+        self.wait_until("all nodes to take work", ready).await;
     }
 }
 
-/// Tries something until it succeeds; gives up loudly rather than hang.
-pub async fn persist<T>(what: &str, attempt: impl AsyncFn() -> Option<T>) -> T {
-    for _ in 0..TRIES {
-        if let Some(value) = attempt().await {
+/// Repeats an operation until it succeeds, and panics after [`MAX_ATTEMPTS`].
+pub async fn retry<T>(description: &str, operation: impl AsyncFn() -> Option<T>) -> T {
+    for _ in 0..MAX_ATTEMPTS {
+        if let Some(value) = operation().await {
             return value;
         }
-        Timer::after(POLL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
-    panic!("{what} did not succeed");
+    panic!("{description} failed after {MAX_ATTEMPTS} attempts");
 }
 
-impl Drop for Cluster {
+impl Drop for TestCluster {
     fn drop(&mut self) {
-        // A folder that stays behind is no failure of the code under test.
+        // Leftover files are not a failure of the code under test.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Runs a test on an executor of its own.
+/// Runs a test on its own executor.
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<LocalExecutor<'static>>) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(test(executor.clone())));
--- a/agatetrestle/tests/isolation.rs
+++ b/agatetrestle/tests/isolation.rs
@@ -1,4 +1,4 @@
-//! A control replica that is cut off, and connections that go silent for good.
+//! Network partitions: an isolated control leader, and peer connections that stay open but deliver nothing.
 
 mod cluster;
 
@@ -13,11 +13,11 @@
 use agatetrestle::programs::command::ProgramReply;
 use agatetrestle::programs::command::ProgramSpec;
 
-use crate::cluster::Cluster;
+use crate::cluster::TestCluster;
 
 const NODES: u64 = 3;
 
-async fn apply(node: &Node, expected: u64) {
+async fn apply_document(node: &Node, expected: u64) {
     let change_id = format!("change-{expected}");
     let command = ControlCommand::Apply {
         scope: "vrsta".into(),
@@ -25,33 +25,33 @@
         expected,
         change_id: change_id.into(),
     };
-    cluster::persist("a change", async || {
+    cluster::retry("a configuration change", async || {
         match node.control().commit(command.clone()).await {
             Ok(ControlReply::Accepted { .. }) => Some(()),
-            Ok(other) => panic!("the change was answered by {other:?}"),
-            // An election may take longer than one try; the change id makes the resend safe.
+            Ok(other) => panic!("unexpected reply to a configuration change: {other:?}"),
+            // An election may outlast one attempt; the change id makes retries idempotent.
             Err(_) => None,
         }
     })
     .await;
 }
 
-async fn open(node: &Node, name: &str) {
+async fn open_program(node: &Node, name: &str) {
     let program = ProgramId { partner: "vrsta".into(), name: name.into() };
     let spec =
         ProgramSpec { team: "dawn".into(), class: "replacement".into(), budget: 10, turns: 2, parent: None };
     let command = ProgramCommand::Open { program, key: RequestKey("k".into()), spec, at: 0 };
-    cluster::persist("opening a program", async || match node.ledger().commit(command.clone()).await {
+    cluster::retry("opening a program", async || match node.ledger().commit(command.clone()).await {
         Ok(ProgramReply::Done(_)) => Some(()),
-        Ok(other) => panic!("opening a program was answered by {other:?}"),
+        Ok(other) => panic!("unexpected reply to opening a program: {other:?}"),
         Err(_) => None,
     })
     .await;
 }
 
-fn control_leader(cluster: &Cluster) -> u64 {
-    let views = cluster.node(1).groups().groups();
-    views.iter().find(|view| view.group == CONTROL_GROUP).unwrap().leader.unwrap().0
+fn control_leader(cluster: &TestCluster) -> u64 {
+    let groups = cluster.node(1).groups().groups();
+    groups.iter().find(|view| view.group == CONTROL_GROUP).unwrap().leader.unwrap().0
 }
 
 fn revision(node: &Node) -> u64 {
@@ -59,47 +59,51 @@
 }
 
 #[test]
-fn an_isolated_control_leader_stops_taking_work_and_comes_back_without_reverting() {
+fn isolated_control_leader_stops_taking_work() {
     cluster::run(|executor| async move {
-        let cluster = Cluster::new(&executor, "isolated");
-        cluster.found_behind_forwarders(NODES).await;
-        cluster.until_taking_work().await;
-        apply(&cluster.node(1), 0).await;
-        cluster.until("the first change", || cluster.nodes().iter().all(|node| revision(node) == 1)).await;
+        let cluster = TestCluster::new(&executor, "isolated");
+        cluster.bootstrap_with_forwarders(NODES).await;
+        cluster.wait_until_taking_work().await;
+        apply_document(&cluster.node(1), 0).await;
+        cluster
+            .wait_until("the first change on all nodes", || {
+                cluster.nodes().iter().all(|node| revision(node) == 1)
+            })
+            .await;
 
         let isolated = control_leader(&cluster);
         let others: Vec<u64> = (1..=NODES).filter(|id| *id != isolated).collect();
         cluster.isolate(isolated);
-        let cut_off = cluster.node(isolated);
-        let stopped = || cut_off.control().taking_work() == Err(NotTakingWork::Isolated);
-        cluster.until("the isolated node stops taking work", stopped).await;
-        assert_eq!(revision(&cut_off), 1);
+        let isolated_node = cluster.node(isolated);
+        let stopped = || isolated_node.control().taking_work() == Err(NotTakingWork::Isolated);
+        cluster.wait_until("refusal of work by the isolated node", stopped).await;
+        assert_eq!(revision(&isolated_node), 1);
 
-        apply(&cluster.node(others[0]), 1).await;
-        open(&cluster.node(others[1]), "while-cut-off").await;
-        let in_force = || others.iter().all(|id| revision(&cluster.node(*id)) == 2);
-        cluster.until("the change is in force on the others", in_force).await;
-        assert!(stopped(), "the isolated node must not take work under old rules");
+        apply_document(&cluster.node(others[0]), 1).await;
+        open_program(&cluster.node(others[1]), "while-cut-off").await;
+        let applied = || others.iter().all(|id| revision(&cluster.node(*id)) == 2);
+        cluster.wait_until("the second change on the other nodes", applied).await;
+        assert!(stopped(), "the isolated node must not take work under an outdated configuration");
 
         cluster.heal();
-        let back = || cut_off.control().taking_work().is_ok();
-        cluster.until("the isolated node is back", back).await;
-        assert_eq!(revision(&cut_off), 2, "work is taken only under the newest rules");
+        let resumed = || isolated_node.control().taking_work().is_ok();
+        cluster.wait_until("return of the isolated node to work", resumed).await;
+        assert_eq!(revision(&isolated_node), 2, "the node took work before it had the latest configuration");
     });
 }
 
 #[test]
-fn connections_that_go_silent_are_replaced() {
+fn replaces_silent_connections() {
     cluster::run(|executor| async move {
-        let cluster = Cluster::new(&executor, "silent");
-        cluster.found_behind_forwarders(NODES).await;
-        cluster.until_taking_work().await;
+        let cluster = TestCluster::new(&executor, "silent");
+        cluster.bootstrap_with_forwarders(NODES).await;
+        cluster.wait_until_taking_work().await;
         for round in 0..3 {
             cluster.heal();
             for id in 1..=NODES {
-                open(&cluster.node(id), &format!("program-{round}-{id}")).await;
+                open_program(&cluster.node(id), &format!("program-{round}-{id}")).await;
             }
         }
-        cluster.until_taking_work().await;
+        cluster.wait_until_taking_work().await;
     });
 }
--- a/agatetrestle/tests/logging.rs
+++ b/agatetrestle/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Logs into a folder, with rotation. It stands alone because a process starts its logs once.
+//! Log files and their rotation, in a test binary of its own because logging is initialized once per process.
 
 use std::fs;
 use std::path::Path;
@@ -7,11 +7,11 @@
 use agatetrestle::logging;
 use agatetrestle_config::settings::Logging;
 
-const LINES: usize = 400;
-const KEPT: usize = 2;
-const FILE_SIZE: u64 = 4 << 10;
+const MESSAGES: usize = 400;
+const KEPT_FILES: usize = 2;
+const FILE_BYTES: u64 = 4 << 10;
 
-fn empty_folder() -> PathBuf {
+fn clear_log_folder() -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("logging");
     fs::remove_dir_all(&folder).ok();
     folder
@@ -22,31 +22,31 @@
 }
 
 #[test]
-fn files_rotate_and_only_the_newest_are_kept() {
-    let folder = empty_folder();
+fn rotates_files_and_keeps_the_newest() {
+    let folder = clear_log_folder();
     let cfg = Logging {
         folder: Some(folder.clone()),
-        rotate: FILE_SIZE,
-        keep: KEPT,
+        rotate: FILE_BYTES,
+        keep: KEPT_FILES,
         json: true,
         ..Logging::default()
     };
     let handle = logging::init(&cfg).unwrap();
-    for i in 0..LINES {
+    for i in 0..MESSAGES {
         log::info!(target: "agatetrestle::node", "Line {i}.");
     }
     log::debug!(target: "agatetrestle::node", "Below the level.");
     handle.flush();
     let files = files(&folder);
-    assert_eq!(files.len(), KEPT + 1, "{files:?}");
+    assert_eq!(files.len(), KEPT_FILES + 1, "{files:?}");
     let kept: Vec<String> = files.iter().flat_map(|file| messages(file)).collect();
-    assert!(!kept.contains(&"Line 0.".to_owned()), "the oldest file was to be dropped");
-    let newest: Vec<String> = (LINES - 30..LINES).map(|i| format!("Line {i}.")).collect();
+    assert!(!kept.contains(&"Line 0.".to_owned()), "the oldest file must be deleted");
+    let newest: Vec<String> = (MESSAGES - 30..MESSAGES).map(|i| format!("Line {i}.")).collect();
     assert!(newest.iter().all(|line| kept.contains(line)), "{kept:?}");
-    assert!(logging::init(&cfg).is_err(), "logs are started once");
+    assert!(logging::init(&cfg).is_err(), "logging must be initialized only once");
 }
 
-/// The messages of one file; every line must be a JSON object with the prefix of the part.
+/// Messages of one file, each of whose lines must be a JSON object with `part` set.
 fn messages(file: &Path) -> Vec<String> {
     let text = fs::read_to_string(file).unwrap();
     let values = text.lines().map(|line| serde_json::from_str::<serde_json::Value>(line).unwrap());
--- a/agatetrestle/tests/orders.rs
+++ b/agatetrestle/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: only from the control leader, under fencing numbers that rise with each leader.
+//! Orders to engines come only from the control leader, with fencing tokens that increase with each leader.
 
 mod cluster;
 
@@ -16,9 +16,9 @@
 use http_types::StatusCode;
 use serde_json::json;
 
-use crate::cluster::Cluster;
+use crate::cluster::TestCluster;
 
-const SHARED: &str = "\
+const SHARED_DOCUMENT: &str = "\
 format: 1
 models:
   tutor:
@@ -26,80 +26,80 @@
 backend_servers:
 ";
 
-/// An engine that forgets its model whenever it is told to.
+/// An engine that checks fencing tokens, and whose model the test unloads.
 #[derive(Default)]
-struct Engine {
+struct FencedEngine {
     loaded: Cell<bool>,
-    fences: RefCell<Vec<u64>>,
+    tokens: RefCell<Vec<u64>>,
 }
 
-impl Engine {
+impl FencedEngine {
     fn answer(&self, request: &http_types::Request) -> Response {
         if request.method() == Method::Get {
             let data = if self.loaded.get() { json!([{ "id": "tutor" }]) } else { json!([]) };
             return server::json(StatusCode::Ok, &json!({ "data": data }));
         }
-        let fence: u64 = server::header(request, FENCING_TOKEN_HEADER).parse().unwrap();
-        let newest = self.fences.borrow().last().copied().unwrap_or(0);
-        if fence < newest {
+        let token: u64 = server::header(request, FENCING_TOKEN_HEADER).parse().unwrap();
+        let newest = self.tokens.borrow().last().copied().unwrap_or(0);
+        if token < newest {
             return Response::new(StatusCode::Conflict);
         }
-        self.fences.borrow_mut().push(fence);
+        self.tokens.borrow_mut().push(token);
         self.loaded.set(true);
         Response::new(StatusCode::Ok)
     }
 }
 
-async fn declare(cluster: &Cluster, address: std::net::SocketAddr) {
+async fn declare(cluster: &TestCluster, address: std::net::SocketAddr) {
     let engine = format!(
         "  engine-1:\n    kind: engine\n    address: {address}\n    serves: tutor\n    vm: gpu-1\n    \
          failure_domain: domain-1\n    checks_fencing: true\n"
     );
     let command = ControlCommand::Apply {
         scope: "shared".into(),
-        text: format!("{SHARED}{engine}").into(),
+        text: format!("{SHARED_DOCUMENT}{engine}").into(),
         expected: 0,
         change_id: "engines".into(),
     };
-    cluster::persist("declaring", async || {
+    cluster::retry("applying the declarations", async || {
         match cluster.nodes()[0].control().commit(command.clone()).await {
             Ok(ControlReply::Accepted { .. }) => Some(()),
-            Ok(other) => panic!("the declarations were answered by {other:?}"),
+            Ok(other) => panic!("unexpected reply to the declarations: {other:?}"),
             Err(_) => None,
         }
     })
     .await;
 }
 
-fn control_leader(cluster: &Cluster) -> Option<u64> {
-    let views = cluster.nodes()[0].groups().groups();
-    let view = views.iter().find(|view| view.group == CONTROL_GROUP)?;
+fn control_leader(cluster: &TestCluster) -> Option<u64> {
+    let groups = cluster.nodes()[0].groups().groups();
+    let view = groups.iter().find(|view| view.group == CONTROL_GROUP)?;
     Some(view.leader?.0)
 }
 
 #[test]
-fn a_new_leader_gives_orders_under_a_higher_fencing_number() {
+fn new_leader_sends_higher_fencing_tokens() {
     cluster::run(|executor| async move {
-        let engine = Rc::new(Engine::default());
-        let shared = engine.clone();
-        let answering = move |request: http_types::Request| {
-            let response = shared.answer(&request);
+        let engine = Rc::new(FencedEngine::default());
+        let handler_engine = engine.clone();
+        let handler = move |request: http_types::Request| {
+            let response = handler_engine.answer(&request);
             async move { Ok(response) }
         };
-        let fake = server::serve(&executor, 0, answering).await.unwrap();
-        let cluster = Cluster::new(&executor, "orders");
-        cluster.found(3).await;
-        cluster.until_taking_work().await;
-        declare(&cluster, fake.address).await;
-        cluster.until("the first order", || engine.loaded.get()).await;
-        let first = *engine.fences.borrow().last().unwrap();
+        let engine_server = server::serve(&executor, 0, handler).await.unwrap();
+        let cluster = TestCluster::new(&executor, "orders");
+        cluster.bootstrap(3).await;
+        cluster.wait_until_taking_work().await;
+        declare(&cluster, engine_server.address).await;
+        cluster.wait_until("the first order", || engine.loaded.get()).await;
+        let first_token = *engine.tokens.borrow().last().unwrap();
 
         let leader = control_leader(&cluster).unwrap();
-        cluster.lose(leader).await;
+        cluster.kill(leader).await;
         engine.loaded.set(false);
-        cluster.until("an order of the new leader", || engine.loaded.get()).await;
-        let fences = engine.fences.borrow().clone();
-        assert!(fences.last().unwrap() > &first, "{fences:?}");
-        assert!(fences.is_sorted());
+        cluster.wait_until("an order of the new leader", || engine.loaded.get()).await;
+        let tokens = engine.tokens.borrow().clone();
+        assert!(tokens.last().unwrap() > &first_token, "{tokens:?}");
+        assert!(tokens.is_sorted());
     });
 }
--- a/agatetrestle/tests/replacement.rs
+++ b/agatetrestle/tests/replacement.rs
@@ -1,4 +1,4 @@
-//! A VM that lost its disk is replaced, and a second one is lost right after.
+//! Replacement of a VM that lost its disk, followed by the loss of a second VM.
 
 mod cluster;
 
@@ -26,53 +26,53 @@
 use agatetrestle::programs::command::QueryReply;
 use agatetrestle::programs::command::Repeatable;
 
-use crate::cluster::Cluster;
+use crate::cluster::TestCluster;
 
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 const GROUPS: [GroupId; 2] = [CONTROL_GROUP, FIRST_STATE_GROUP];
 
 fn program(number: u32) -> ProgramId {
     ProgramId { partner: "vrsta".into(), name: format!("dawn-{number}").into() }
 }
 
-async fn open(cluster: &Cluster, number: u32) {
+async fn open_program(cluster: &TestCluster, number: u32) {
     let spec =
         ProgramSpec { team: "dawn".into(), class: "replacement".into(), budget: 10, turns: 50, parent: None };
     let command = ProgramCommand::Open { program: program(number), key: RequestKey("k".into()), spec, at: 0 };
-    cluster::persist("opening a program", async || {
+    cluster::retry("opening a program", async || {
         match cluster.nodes()[0].ledger().commit(command.clone()).await {
             Ok(ProgramReply::Done(_)) => Some(()),
-            Ok(reply) => panic!("opening a program was answered by {reply:?}"),
-            // An election may take longer than one try.
+            Ok(reply) => panic!("unexpected reply to opening a program: {reply:?}"),
+            // An election may outlast one attempt.
             Err(_) => None,
         }
     })
     .await;
 }
 
-async fn is_known(cluster: &Cluster, number: u32) -> bool {
-    cluster::persist("a query", async || {
+async fn knows_program(cluster: &TestCluster, number: u32) -> bool {
+    cluster::retry("a program query", async || {
         match cluster.nodes()[0].ledger().query(ProgramQuery::Program(program(number))).await {
             Ok(QueryReply::One(reply)) => Some(matches!(reply, ProgramReply::Done(_))),
-            Ok(QueryReply::Many(_)) => panic!("a query for one program was answered by a list"),
+            Ok(QueryReply::Many(_)) => panic!("unexpected list in reply to a query for one program"),
             Err(_) => None,
         }
     })
     .await
 }
 
-/// Asks every node until the leader has made the change.
-async fn change(cluster: &Cluster, change: ReplicaChange) {
+/// Proposes the change to each node in turn until the leader has applied it.
+async fn change_replicas(cluster: &TestCluster, change: ReplicaChange) {
     for group in GROUPS {
-        let asked = Cell::new(0);
-        cluster::persist("a change of replicas", async || {
+        let attempts = Cell::new(0);
+        cluster::retry("a replica change", async || {
             let nodes = cluster.nodes();
-            asked.set(asked.get() + 1);
-            match nodes[asked.get() % nodes.len()].groups().change(group, change).await {
+            attempts.set(attempts.get() + 1);
+            match nodes[attempts.get() % nodes.len()].groups().change(group, change).await {
                 Ok(()) => Some(()),
-                Err(ChangeError::Invalid) => panic!("{change:?} makes no sense"),
+                Err(ChangeError::Invalid) => panic!("invalid replica change: {change:?}"),
                 Err(_) => {
-                    smol::Timer::after(PAUSE).await;
+                    smol::Timer::after(RETRY_DELAY).await;
                     None
                 }
             }
@@ -81,53 +81,53 @@
     }
 }
 
-fn voters(cluster: &Cluster, node: u64) -> Vec<Vec<NodeId>> {
-    let views = cluster.node(node).groups().groups();
-    views.into_iter().map(|view| view.replicas).collect()
+fn replica_sets(cluster: &TestCluster, node: u64) -> Vec<Vec<NodeId>> {
+    let groups = cluster.node(node).groups().groups();
+    groups.into_iter().map(|view| view.replicas).collect()
 }
 
 #[test]
-fn a_second_loss_right_after_a_repair_finds_a_full_quorum() {
+fn keeps_quorum_after_replacement_and_second_loss() {
     cluster::run(|executor| async move {
-        let cluster = Cluster::new(&executor, "replacement");
-        cluster.found(3).await;
-        cluster.until_taking_work().await;
-        open(&cluster, 1).await;
-
-        cluster.lose(3).await;
-        cluster.lose_files(3);
-        open(&cluster, 2).await;
+        let cluster = TestCluster::new(&executor, "replacement");
+        cluster.bootstrap(3).await;
+        cluster.wait_until_taking_work().await;
+        open_program(&cluster, 1).await;
+
+        cluster.kill(3).await;
+        cluster.delete_files(3);
+        open_program(&cluster, 2).await;
         cluster.start(4, MissingFiles::Join).await.unwrap();
-        change(&cluster, ReplicaChange::AddLearner(NodeId(4))).await;
-        change(&cluster, ReplicaChange::Promote(NodeId(4))).await;
-        change(&cluster, ReplicaChange::Remove(NodeId(3))).await;
+        change_replicas(&cluster, ReplicaChange::AddLearner(NodeId(4))).await;
+        change_replicas(&cluster, ReplicaChange::Promote(NodeId(4))).await;
+        change_replicas(&cluster, ReplicaChange::Remove(NodeId(3))).await;
         let expected = vec![vec![NodeId(1), NodeId(2), NodeId(4)]; 2];
-        cluster.until("the new replica knows the set", || voters(&cluster, 4) == expected).await;
+        cluster.wait_until("the new replica set on node 4", || replica_sets(&cluster, 4) == expected).await;
 
-        cluster.lose(1).await;
-        open(&cluster, 3).await;
+        cluster.kill(1).await;
+        open_program(&cluster, 3).await;
         for number in 1..=3 {
-            assert!(is_known(&cluster, number).await, "program {number} was lost");
+            assert!(knows_program(&cluster, number).await, "program {number} was lost");
         }
     });
 }
 
 #[test]
-fn a_replica_without_its_files_is_refused_and_as_a_joiner_counts_for_nothing() {
+fn replica_without_files_does_not_vote() {
     cluster::run(|executor| async move {
-        let cluster = Cluster::new(&executor, "lost-disk");
-        cluster.found(3).await;
-        cluster.until_taking_work().await;
-        open(&cluster, 1).await;
+        let cluster = TestCluster::new(&executor, "lost-disk");
+        cluster.bootstrap(3).await;
+        cluster.wait_until_taking_work().await;
+        open_program(&cluster, 1).await;
 
-        cluster.lose(3).await;
-        cluster.lose_files(3);
+        cluster.kill(3).await;
+        cluster.delete_files(3);
         let refused = cluster.start(3, MissingFiles::Refuse).await;
         assert!(matches!(refused, Err(NodeError::Missing { .. })));
 
-        // Its number is still a voter's, so it must stay silent, and with it alone there is no quorum.
+        // Node 3 is still a voter but has lost its vote record, so it must not vote, and node 1 has no quorum.
         cluster.start(3, MissingFiles::Join).await.unwrap();
-        cluster.lose(2).await;
+        cluster.kill(2).await;
         let spec = ProgramSpec {
             team: "dawn".into(),
             class: "replacement".into(),
@@ -140,23 +140,25 @@
         assert!(!cluster.node(3).groups().groups().iter().any(|group| group.commit > 0));
 
         cluster.start(2, MissingFiles::Refuse).await.unwrap();
-        change(&cluster, ReplicaChange::Remove(NodeId(3))).await;
-        change(&cluster, ReplicaChange::AddLearner(NodeId(3))).await;
-        change(&cluster, ReplicaChange::Promote(NodeId(3))).await;
+        change_replicas(&cluster, ReplicaChange::Remove(NodeId(3))).await;
+        change_replicas(&cluster, ReplicaChange::AddLearner(NodeId(3))).await;
+        change_replicas(&cluster, ReplicaChange::Promote(NodeId(3))).await;
         cluster
-            .until("the replica has caught up", || voters(&cluster, 3).iter().all(|set| set.len() == 3))
+            .wait_until("the replica set on node 3", || {
+                replica_sets(&cluster, 3).iter().all(|set| set.len() == 3)
+            })
             .await;
-        cluster.lose(1).await;
-        assert!(is_known(&cluster, 1).await);
+        cluster.kill(1).await;
+        assert!(knows_program(&cluster, 1).await);
     });
 }
 
-const BODY: usize = 2_000;
+const BODY_BYTES: usize = 2_000;
 const CALLS: u32 = 20;
 
-async fn call(cluster: &Cluster, number: u32) {
+async fn run_call(cluster: &TestCluster, number: u32) {
     let attempt = AttemptId { node: NodeId(1), incarnation: 1, sequence: number.into() };
-    let body: Arc<[u8]> = vec![b'x'; BODY].into();
+    let body: Arc<[u8]> = vec![b'x'; BODY_BYTES].into();
     let begin = ProgramCommand::Begin {
         program: program(1),
         call: CallNumber(number),
@@ -171,55 +173,56 @@
     let finish =
         ProgramCommand::Finish { program: program(1), call: CallNumber(number), attempt, answer, spent: 0 };
     for command in [begin, finish] {
-        cluster::persist("a call", async || {
-            match cluster.nodes()[0].ledger().commit(command.clone()).await {
-                Ok(ProgramReply::Done(_)) => Some(()),
-                Ok(reply) => panic!("a call was answered by {reply:?}"),
-                Err(_) => None,
-            }
+        cluster::retry("a call", async || match cluster.nodes()[0].ledger().commit(command.clone()).await {
+            Ok(ProgramReply::Done(_)) => Some(()),
+            Ok(reply) => panic!("unexpected reply to a call: {reply:?}"),
+            Err(_) => None,
         })
         .await;
     }
 }
 
-fn history_bytes(cluster: &Cluster, node: u64) -> u64 {
+fn history_bytes(cluster: &TestCluster, node: u64) -> u64 {
     let files = std::fs::read_dir(cluster.data_folder(node).join("history-1")).unwrap();
     files.map(|file| file.unwrap().metadata().unwrap().len()).sum()
 }
 
 #[test]
-fn a_joining_replica_gets_the_history_with_its_snapshot() {
+fn transfers_history_with_snapshots() {
     cluster::run(|executor| async move {
-        let cluster = Cluster::new(&executor, "history");
-        cluster.snapshot_after.set(4 * BODY as u64);
-        cluster.found(3).await;
-        cluster.until_taking_work().await;
-        open(&cluster, 1).await;
+        let cluster = TestCluster::new(&executor, "history");
+        cluster.snapshot_after.set(4 * BODY_BYTES as u64);
+        cluster.bootstrap(3).await;
+        cluster.wait_until_taking_work().await;
+        open_program(&cluster, 1).await;
         for number in 1..=CALLS {
-            call(&cluster, number).await;
+            run_call(&cluster, number).await;
         }
 
-        cluster.lose(3).await;
+        cluster.kill(3).await;
         cluster.start(4, MissingFiles::Join).await.unwrap();
-        change(&cluster, ReplicaChange::AddLearner(NodeId(4))).await;
-        change(&cluster, ReplicaChange::Promote(NodeId(4))).await;
-        change(&cluster, ReplicaChange::Remove(NodeId(3))).await;
+        change_replicas(&cluster, ReplicaChange::AddLearner(NodeId(4))).await;
+        change_replicas(&cluster, ReplicaChange::Promote(NodeId(4))).await;
+        change_replicas(&cluster, ReplicaChange::Remove(NodeId(3))).await;
         let fetched = history_bytes(&cluster, 4);
-        assert!(fetched >= u64::from(CALLS) * BODY as u64, "only {fetched} bytes came with the snapshot");
+        assert!(
+            fetched >= u64::from(CALLS) * BODY_BYTES as u64,
+            "only {fetched} bytes came with the snapshot"
+        );
 
-        // A restart finds what the snapshot relies on, and the loss of node 1 leaves it in the quorum.
-        cluster.lose(4).await;
+        // After a restart, node 4 must have the history that its snapshot refers to and complete the quorum.
+        cluster.kill(4).await;
         cluster.start(4, MissingFiles::Refuse).await.unwrap();
-        cluster.lose(1).await;
+        cluster.kill(1).await;
         let query = ProgramQuery::Request(program(1), RequestKey("key-1".into()));
-        let stored = cluster::persist("the stored answer", async || {
+        let stored = cluster::retry("a query for the stored answer", async || {
             match cluster.node(4).ledger().query(query.clone()).await {
                 Ok(QueryReply::One(ProgramReply::Stored(answer))) => Some(answer),
-                Ok(other) => panic!("the request was answered by {other:?}"),
+                Ok(other) => panic!("unexpected reply to the query: {other:?}"),
                 Err(_) => None,
             }
         })
         .await;
-        assert_eq!(stored.body.len(), BODY);
+        assert_eq!(stored.body.len(), BODY_BYTES);
     });
 }
--- a/agatetrestle/tests/store_memory.rs
+++ b/agatetrestle/tests/store_memory.rs
@@ -1,7 +1,7 @@
-//! How many bytes a store holds while it fills, takes its snapshot and starts again.
+//! Allocated memory of a store while it fills, takes a snapshot and restarts.
 //!
-//! The allocator counts, so the verdict depends on no machine; docs/incidents/003-stores-over-their-memory.md has the
-//! day on which stores ended for want of memory.
+//! Guards against the out-of-memory failures of docs/incidents/003-stores-over-their-memory.md. A counting
+//! allocator makes the result independent of the machine.
 
 use std::alloc::System;
 use std::path::Path;
@@ -31,23 +31,23 @@
 use smol::Timer;
 
 #[global_allocator]
-static MEMORY: Cap<System> = Cap::new(System, usize::MAX);
+static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// Bytes of turns that the store may keep.
-const ROOM: usize = 8 << 20;
-/// Bytes of commands between two snapshots, as stores have it.
-const SNAPSHOT_AFTER: u64 = ROOM as u64 / 2;
-/// Bytes of one turn: what the longest common prompts and answers of the two partners come to.
-const TEXT: usize = 2_800;
-/// What a process holds beside its turns: buffers, tables, segments being read.
-const SLACK: usize = 3 << 20;
+/// Limit of the store on the bytes of its turns.
+const MAX_TURN_BYTES: usize = 8 << 20;
+/// Bytes of commands between two snapshots, in the same ratio to the limit as in production.
+const SNAPSHOT_AFTER_BYTES: u64 = MAX_TURN_BYTES as u64 / 2;
+/// Bytes of one turn with a long prompt and answer.
+const TEXT_BYTES: usize = 2_800;
+/// Memory of a process besides its turns: buffers, tables and segments being read.
+const OVERHEAD_BYTES: usize = 3 << 20;
 const NODE: NodeId = NodeId(1);
 
-struct Folder(PathBuf);
+struct DataFolder(PathBuf);
 
-impl Drop for Folder {
+impl Drop for DataFolder {
     fn drop(&mut self) {
-        // What stays behind harms no other test, since each process has a folder of its own.
+        // Leftover files harm no other test, since the folder name contains the process id.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -67,7 +67,7 @@
 }
 
 fn finish(turn: &str) -> TurnCommand {
-    let text = Blob::from(&[b'x'; TEXT][..]);
+    let text = Blob::from(&[b'x'; TEXT_BYTES][..]);
     let kept = Some(RetainedTurn { previous: None, text, retention: 60_000 });
     TurnCommand::Finish(Finish {
         program: turn.into(),
@@ -79,9 +79,12 @@
     })
 }
 
-async fn open(folder: &Path, executor: &Rc<LocalExecutor<'static>>) -> OpenReplica<TurnState> {
-    let storage =
-        Storage { data_folder: Some(folder.to_path_buf()), segment: 1 << 20, snapshot_after: SNAPSHOT_AFTER };
+async fn open_store(folder: &Path, executor: &Rc<LocalExecutor<'static>>) -> OpenReplica<TurnState> {
+    let storage = Storage {
+        data_folder: Some(folder.to_path_buf()),
+        segment: 1 << 20,
+        snapshot_after: SNAPSHOT_AFTER_BYTES,
+    };
     let links = Links::new(NODE, Duration::from_secs(1), executor);
     let timing = Timing::default();
     let opener = ReplicaOpener {
@@ -92,17 +95,17 @@
         links: &links,
         executor,
     };
-    let machine = TurnState::with_max_bytes(ROOM);
-    let started = opener.open(FIRST_STATE_GROUP, machine, &[NODE], MissingFiles::Bootstrap).await.unwrap();
-    while !started.group.leads() {
+    let machine = TurnState::with_max_bytes(MAX_TURN_BYTES);
+    let replica = opener.open(FIRST_STATE_GROUP, machine, &[NODE], MissingFiles::Bootstrap).await.unwrap();
+    while !replica.group.leads() {
         Timer::after(Duration::from_millis(5)).await;
     }
-    started
+    replica
 }
 
-/// Runs turns until their texts pass some bytes.
+/// Runs turns with `bytes` of text in total.
 async fn fill(store: &OpenReplica<TurnState>, name: &str, bytes: usize) {
-    for number in 0..bytes / TEXT {
+    for number in 0..bytes / TEXT_BYTES {
         let turn = format!("{name}-{number}");
         for command in [begin(&turn), finish(&turn)] {
             let payload: Arc<[u8]> = command.encode(Duration::from_millis(1)).into();
@@ -111,31 +114,37 @@
     }
 }
 
-/// Bytes in units of the room, beyond the slack.
-fn rooms(bytes: usize) -> f64 {
-    let over = u32::try_from(bytes.saturating_sub(SLACK)).unwrap();
-    f64::from(over) / f64::from(u32::try_from(ROOM).unwrap())
+/// Bytes beyond the overhead, as a multiple of the limit.
+fn limit_ratio(bytes: usize) -> f64 {
+    let excess = u32::try_from(bytes.saturating_sub(OVERHEAD_BYTES)).unwrap();
+    f64::from(excess) / f64::from(u32::try_from(MAX_TURN_BYTES).unwrap())
 }
 
 #[test]
 fn store_holds_its_turns_once() {
-    let folder = Folder(std::env::temp_dir().join(format!("agatetrestle-memory-{}", std::process::id())));
+    let folder = DataFolder(std::env::temp_dir().join(format!("agatetrestle-memory-{}", std::process::id())));
     let executor = Rc::new(LocalExecutor::new());
-    let start = MEMORY.allocated();
+    let start = ALLOCATOR.allocated();
     smol::block_on(executor.run(async {
-        let store = open(&folder.0, &executor).await;
-        fill(&store, "a", ROOM * 9 / 20).await;
-        let held = rooms(MEMORY.allocated() - start);
-        assert!(held < 0.6, "before the first snapshot log and state hold the texts once, not {held} times");
-        fill(&store, "b", ROOM * 11 / 20).await;
-        let most = rooms(MEMORY.max_allocated() - start);
-        assert!(most < 2.3, "the snapshot is the one copy beside the state, not {most}");
+        let store = open_store(&folder.0, &executor).await;
+        fill(&store, "a", MAX_TURN_BYTES * 9 / 20).await;
+        let allocated = limit_ratio(ALLOCATOR.allocated() - start);
+        assert!(
+            allocated < 0.6,
+            "log and state must hold the texts once before the first snapshot: {allocated}"
+        );
+        fill(&store, "b", MAX_TURN_BYTES * 11 / 20).await;
+        let peak = limit_ratio(ALLOCATOR.max_allocated() - start);
+        assert!(peak < 2.3, "a snapshot may hold one copy besides the state: {peak}");
         store.driver.cancel().await;
         drop(store.group);
-        let store = open(&folder.0, &executor).await;
-        assert!(store.group.machine(|turns| turns.holdings().bytes) > ROOM, "the turns are there again");
-        let most = rooms(MEMORY.max_allocated() - start);
-        assert!(most < 2.5, "a start holds the snapshot and the state made from it, not {most}");
+        let store = open_store(&folder.0, &executor).await;
+        assert!(
+            store.group.machine(|turns| turns.holdings().bytes) > MAX_TURN_BYTES,
+            "the restart must restore the turns"
+        );
+        let peak = limit_ratio(ALLOCATOR.max_allocated() - start);
+        assert!(peak < 2.5, "a restart may hold only the snapshot and the state: {peak}");
         store.driver.cancel().await;
     }));
 }
--- a/agatetrestle/tests/support/mod.rs
+++ b/agatetrestle/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node's caller side over loopback, with the real ledger in memory and fakes for the rest.
+//! The caller API of nodes over loopback, with the real ledger state in memory and fakes for the rest.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -54,39 +54,39 @@
 
 pub const PROGRAM: &str = "vrsta/dawn";
 
-/// What the ledger does with the next commands.
+/// How the ledger fails a command.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Fault {
+pub enum LedgerFault {
     #[default]
     None,
     /// The command is not applied.
     NotProposed,
-    /// The command is applied and its reply is lost.
+    /// The command is applied, but its reply is lost.
     ReplyLost,
 }
 
-/// The ledger of all nodes of a test.
+/// The ledger that all nodes of a test share.
 #[derive(Default)]
-pub struct SharedLedger {
+pub struct FakeLedger {
     ledger: RefCell<LedgerState>,
-    faults: RefCell<Vec<Fault>>,
+    faults: RefCell<Vec<LedgerFault>>,
     pub commands: RefCell<Vec<String>>,
-    /// Whether the next answers are held back from being stored, and how many are.
-    pub holding: Cell<bool>,
-    pub held: Cell<u32>,
-    /// Whether queries get no reply.
-    pub silent: Cell<bool>,
+    /// Whether `Finish` commands wait before they are applied.
+    pub block_finishes: Cell<bool>,
+    pub received_finishes: Cell<u32>,
+    /// Whether queries fail.
+    pub fail_queries: Cell<bool>,
 }
 
-impl SharedLedger {
-    /// Faults of the next commands, in order.
-    pub fn fail(&self, faults: &[Fault]) {
+impl FakeLedger {
+    /// Sets the faults of the next commands, in order.
+    pub fn inject(&self, faults: &[LedgerFault]) {
         self.faults.borrow_mut().extend(faults.iter().rev());
     }
 
-    async fn hold(&self) {
-        self.held.set(self.held.get() + 1);
-        while self.holding.get() {
+    async fn receive_finish(&self) {
+        self.received_finishes.set(self.received_finishes.get() + 1);
+        while self.block_finishes.get() {
             smol::future::yield_now().await;
         }
     }
@@ -95,31 +95,31 @@
         let id = ProgramId::parse(id).unwrap();
         match self.ledger.borrow().query(&ProgramQuery::Program(id)) {
             QueryReply::One(ProgramReply::Done(view)) => view,
-            other => panic!("no program: {other:?}"),
+            other => panic!("unexpected reply to a program query: {other:?}"),
         }
     }
 
-    /// Names of the commands since the last look.
+    /// Returns the names of the commands since the last call.
     pub fn take_commands(&self) -> Vec<String> {
         std::mem::take(&mut self.commands.borrow_mut())
     }
 }
 
-impl ports::Ledger for SharedLedger {
+impl ports::Ledger for FakeLedger {
     fn commit(&self, command: ProgramCommand) -> LocalBoxFuture<'_, Result<ProgramReply, GroupError>> {
         Box::pin(async move {
             smol::future::yield_now().await;
             if matches!(command, ProgramCommand::Finish { .. }) {
-                self.hold().await;
+                self.receive_finish().await;
             }
             let fault = self.faults.borrow_mut().pop().unwrap_or_default();
-            if fault == Fault::NotProposed {
+            if fault == LedgerFault::NotProposed {
                 return Err(GroupError::NotProposed { reason: "no quorum".into() });
             }
             let name = format!("{command:?}").split([' ', '{']).next().unwrap_or_default().to_owned();
             self.commands.borrow_mut().push(name);
             let reply = self.ledger.borrow_mut().execute(command);
-            if fault == Fault::ReplyLost {
+            if fault == LedgerFault::ReplyLost {
                 return Err(GroupError::Unknown { reason: "the reply was lost".into() });
             }
             Ok(reply)
@@ -128,7 +128,7 @@
 
     fn query(&self, query: ProgramQuery) -> LocalBoxFuture<'_, Result<QueryReply, GroupError>> {
         Box::pin(async move {
-            if self.silent.get() {
+            if self.fail_queries.get() {
                 return Err(GroupError::NotProposed { reason: "no quorum".into() });
             }
             Ok(self.ledger.borrow().query(&query))
@@ -138,7 +138,7 @@
 
 pub struct FakeControl {
     configuration: RefCell<Arc<Configuration>>,
-    pub taking: Cell<Result<(), NotTakingWork>>,
+    pub taking_work: Cell<Result<(), NotTakingWork>>,
 }
 
 impl FakeControl {
@@ -146,11 +146,11 @@
         let document = |text: &String| Document { version: 1, text: text.as_str().into(), revision: 1 };
         let documents = documents.iter().map(|(scope, text)| (Arc::from(*scope), document(text))).collect();
         let configuration = Configuration { revision: 1, documents, leaving: BTreeMap::new() };
-        Self { configuration: RefCell::new(Arc::new(configuration)), taking: Cell::new(Ok(())) }
+        Self { configuration: RefCell::new(Arc::new(configuration)), taking_work: Cell::new(Ok(())) }
     }
 
     /// Marks a VM or backend server as leaving, as a new revision.
-    pub fn leave(&self, name: &str) {
+    pub fn mark_leaving(&self, name: &str) {
         let mut next = Configuration::clone(&self.configuration.borrow());
         next.revision += 1;
         next.leaving.insert(name.into(), 1);
@@ -168,7 +168,7 @@
     }
 
     fn taking_work(&self) -> Result<(), NotTakingWork> {
-        self.taking.get()
+        self.taking_work.get()
     }
 }
 
@@ -189,43 +189,43 @@
 
 #[derive(Default)]
 pub struct FakeRecorder {
-    pub refused: RefCell<Vec<&'static str>>,
-    pub taken: RefCell<Vec<(Labels, Measurement)>>,
+    pub refusals: RefCell<Vec<&'static str>>,
+    pub records: RefCell<Vec<(Labels, Measurement)>>,
 }
 
 impl FakeRecorder {
-    /// Counts the measures that `wanted` picks, all of which must belong to the rig's class.
-    pub fn count(&self, wanted: impl Fn(&Measurement) -> bool) -> usize {
-        let taken = self.taken.borrow();
-        let picked: Vec<&Labels> =
-            taken.iter().filter(|(_, m)| wanted(m)).map(|(labels, _)| labels).collect();
-        assert!(picked.iter().all(|labels| &*labels.partner == "vrsta" && &*labels.class == "assistant"));
-        picked.len()
+    /// Counts the measurements that match, all of which must have the labels of the test's program.
+    pub fn count(&self, predicate: impl Fn(&Measurement) -> bool) -> usize {
+        let records = self.records.borrow();
+        let matching: Vec<&Labels> =
+            records.iter().filter(|(_, m)| predicate(m)).map(|(labels, _)| labels).collect();
+        assert!(matching.iter().all(|labels| &*labels.partner == "vrsta" && &*labels.class == "assistant"));
+        matching.len()
     }
 }
 
 impl Recorder for FakeRecorder {
     fn record(&self, labels: &Labels, measure: &Measurement) {
-        self.taken.borrow_mut().push((labels.clone(), measure.clone()));
+        self.records.borrow_mut().push((labels.clone(), measure.clone()));
         if let Measurement::Refused(reason) = measure {
-            self.refused.borrow_mut().push(reason);
+            self.refusals.borrow_mut().push(reason);
         }
     }
 
     fn record_cache(&self, _: u64, _: u64) {}
 }
 
-/// A timer that only the test moves.
+/// A timer that the test advances.
 #[derive(Default)]
 pub struct ManualTimer {
     now: Cell<Duration>,
-    armed: RefCell<Vec<(Duration, Duration, Sender<()>)>>,
+    sleepers: RefCell<Vec<(Duration, Duration, Sender<()>)>>,
 }
 
 impl Timer for ManualTimer {
-    fn after(&self, span: Duration) -> LocalBoxFuture<'static, ()> {
+    fn after(&self, duration: Duration) -> LocalBoxFuture<'static, ()> {
         let (tx, rx) = channel::bounded(1);
-        self.armed.borrow_mut().push((self.now.get() + span, span, tx));
+        self.sleepers.borrow_mut().push((self.now.get() + duration, duration, tx));
         Box::pin(async move {
             rx.recv().await.ok();
         })
@@ -233,19 +233,20 @@
 }
 
 impl ManualTimer {
-    /// Waits until somebody sleeps for exactly `span`.
-    pub async fn armed(&self, span: Duration) {
-        let is_live = |(_, asked, tx): &(Duration, Duration, Sender<()>)| *asked == span && !tx.is_closed();
-        while !self.armed.borrow().iter().any(is_live) {
+    /// Waits until a task sleeps for exactly `duration`.
+    pub async fn wait_for_sleep(&self, duration: Duration) {
+        let is_pending =
+            |(_, requested, tx): &(Duration, Duration, Sender<()>)| *requested == duration && !tx.is_closed();
+        while !self.sleepers.borrow().iter().any(is_pending) {
             smol::future::yield_now().await;
         }
     }
 
-    /// Moves time on and wakes who slept until then.
-    pub fn advance(&self, span: Duration) {
-        self.now.set(self.now.get() + span);
+    /// Advances the time and wakes the tasks whose sleep is over.
+    pub fn advance(&self, duration: Duration) {
+        self.now.set(self.now.get() + duration);
         let now = self.now.get();
-        self.armed.borrow_mut().retain(|(until, _, tx)| {
+        self.sleepers.borrow_mut().retain(|(until, _, tx)| {
             if *until <= now {
                 tx.try_send(()).ok();
             }
@@ -254,10 +255,10 @@
     }
 }
 
-/// The parts that all nodes of a test share.
-pub struct Rig {
+/// The dependencies that all nodes of a test share.
+pub struct Harness {
     pub executor: Rc<LocalExecutor<'static>>,
-    pub ledger: Rc<SharedLedger>,
+    pub ledger: Rc<FakeLedger>,
     pub control: Rc<FakeControl>,
     pub members: Rc<FakeMembers>,
     pub recorder: Rc<FakeRecorder>,
@@ -265,24 +266,27 @@
     pub limits: Callers,
 }
 
-pub struct Node {
+pub struct TestNode {
     pub entry: Rc<ApiServer>,
     pub client: Client,
-    serving: Task<()>,
+    server: Task<()>,
 }
 
-impl Rig {
-    /// A rig whose declarations name the given engines and services.
+impl Harness {
+    /// Declares the given engines and services, and one partner.
     pub fn new(
         executor: &Rc<LocalExecutor<'static>>,
         engines: &[SocketAddr],
         services: &[SocketAddr],
     ) -> Self {
-        Self::declaring(executor, &[("shared", shared(engines, services)), ("vrsta", PARTNER.to_owned())])
+        Self::with_documents(
+            executor,
+            &[("shared", shared_document(engines, services)), ("vrsta", PARTNER_DOCUMENT.to_owned())],
+        )
     }
 
-    /// A rig with the given documents.
-    pub fn declaring(executor: &Rc<LocalExecutor<'static>>, documents: &[(&str, String)]) -> Self {
+    /// Declares the given documents, by scope.
+    pub fn with_documents(executor: &Rc<LocalExecutor<'static>>, documents: &[(&str, String)]) -> Self {
         Self {
             executor: Rc::clone(executor),
             ledger: Rc::default(),
@@ -294,21 +298,22 @@
         }
     }
 
-    pub async fn node(&self, id: u64) -> Node {
-        self.node_with(id, Box::new(RoundRobinScheduler::default())).await
+    pub async fn start_node(&self, id: u64) -> TestNode {
+        self.start_node_with(id, Box::new(RoundRobinScheduler::default())).await
     }
 
-    pub async fn node_with(&self, id: u64, scheduler: Box<dyn Scheduler>) -> Node {
+    pub async fn start_node_with(&self, id: u64, scheduler: Box<dyn Scheduler>) -> TestNode {
         let timer: Rc<dyn Timer> = self.timer.clone();
         let backends = Rc::new(HttpBackendClient::new(Rc::clone(&timer), Duration::from_secs(1)));
         let clock = Clock::start();
         let scheduler = Rc::new(RefCell::new(scheduler));
-        let calls = Rc::new(Dispatcher::new(scheduler, backends.clone(), backends, Rc::clone(&timer), clock));
+        let dispatcher =
+            Rc::new(Dispatcher::new(scheduler, backends.clone(), backends, Rc::clone(&timer), clock));
         let entry = Rc::new(ApiServer {
             ledger: self.ledger.clone(),
             control: self.control.clone(),
             members: self.members.clone(),
-            dispatcher: calls,
+            dispatcher,
             recorder: self.recorder.clone(),
             timer,
             clock,
@@ -321,14 +326,14 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         self.members.members.borrow_mut().push(member(id, address));
-        let serving = entry::serve(Rc::clone(&entry), listener, Rc::clone(&self.executor));
-        Node { entry, client: Client::new(address), serving: self.executor.spawn(serving) }
+        let server = entry::serve(Rc::clone(&entry), listener, Rc::clone(&self.executor));
+        TestNode { entry, client: Client::new(address), server: self.executor.spawn(server) }
     }
 
-    /// Opens the program of the tests.
-    pub async fn open(&self, node: &Node) {
-        let form = json!({ "partner": "vrsta", "team": "dawn", "class": "assistant", "name": "dawn" });
-        let reply = node.client.open("open-1", &form).await.unwrap();
+    /// Opens [`PROGRAM`].
+    pub async fn open_program(&self, node: &TestNode) {
+        let body = json!({ "partner": "vrsta", "team": "dawn", "class": "assistant", "name": "dawn" });
+        let reply = node.client.open("open-1", &body).await.unwrap();
         assert_eq!(reply.status, 201, "{}", reply.json());
     }
 }
@@ -347,7 +352,7 @@
     }
 }
 
-pub const PARTNER: &str = "
+pub const PARTNER_DOCUMENT: &str = "
 format: 1
 teams:
   dawn: {}
@@ -355,39 +360,39 @@
   assistant: { priority: 5, budget: 200000, turns: 50 }
 ";
 
-fn shared(engines: &[SocketAddr], services: &[SocketAddr]) -> String {
+fn shared_document(engines: &[SocketAddr], services: &[SocketAddr]) -> String {
     let mut text = String::from(
         "format: 1\nmodels:\n  small: { weights: 1GiB }\nservices:\n  rota: { repeatable: false }\n",
     );
     text += "  search: { repeatable: true }\nbackend_servers:\n";
-    for (at, address) in engines.iter().enumerate() {
-        text += &backend(&format!("engine-{at}"), "engine", *address, "small");
+    for (index, address) in engines.iter().enumerate() {
+        text += &backend_entry(&format!("engine-{index}"), "engine", *address, "small");
     }
-    for (at, address) in services.iter().enumerate() {
-        text += &backend(&format!("rota-{at}"), "service", *address, "rota");
-        text += &backend(&format!("search-{at}"), "service", *address, "search");
+    for (index, address) in services.iter().enumerate() {
+        text += &backend_entry(&format!("rota-{index}"), "service", *address, "rota");
+        text += &backend_entry(&format!("search-{index}"), "service", *address, "search");
     }
     text
 }
 
-/// One backend server of a document.
-pub fn backend(name: &str, kind: &str, address: SocketAddr, serves: &str) -> String {
+/// One backend server in the declarations.
+pub fn backend_entry(name: &str, kind: &str, address: SocketAddr, serves: &str) -> String {
     format!(
         "  {name}: {{ kind: {kind}, address: \"{address}\", serves: {serves}, vm: b-{name}, failure_domain: d-1 }}\n"
     )
 }
 
-/// A call of the program of the tests.
+/// A call of [`PROGRAM`].
 pub fn call(number: u32, key: &str) -> Call {
     Call { program: PROGRAM.to_owned(), number, key: key.to_owned() }
 }
 
-/// A streamed model call.
-pub fn chat() -> Value {
+/// The body of a streamed model call.
+pub fn chat_request() -> Value {
     agatetrestle_fakes::client::chat_body("small", "You find replacements.", "Ana is ill.", 8)
 }
 
-/// Runs a test on an executor of its own.
+/// Runs a test on its own executor.
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<LocalExecutor<'static>>) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(test(Rc::clone(&executor))));
--- a/agatetrestle/tests/upkeep.rs
+++ b/agatetrestle/tests/upkeep.rs
@@ -1,4 +1,4 @@
-//! What goes to and fro with engines beside calls: reports, cache changes and orders about caches.
+//! Traffic with engines besides calls: load reports, cache changes and cache commands.
 
 mod support;
 
@@ -22,50 +22,52 @@
 use agatetrestle_fakes::EngineConfig;
 use agatetrestle_fakes::client::chat_body;
 
+use crate::support::Harness;
 use crate::support::PROGRAM;
-use crate::support::Rig;
 use crate::support::call;
 use crate::support::run;
 
-const INTERVAL: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the scheduler was told.
+/// Blocks and reports from the events that reached the scheduler.
 #[derive(Default)]
-struct Told {
-    asked: Vec<u64>,
+struct ObservedEvents {
+    requested: Vec<u64>,
     stored: Vec<u64>,
     evicted: Vec<u64>,
     reports: u32,
 }
 
-/// The baseline, which also has the cache of a program released when it ends.
-struct Releasing {
+/// Round robin that also releases the cache of a program when the program ends.
+struct ReleasingScheduler {
     inner: RoundRobinScheduler,
-    told: Rc<RefCell<Told>>,
+    observed: Rc<RefCell<ObservedEvents>>,
 }
 
-impl Releasing {
-    fn note(&self, event: &Event) {
-        let mut told = self.told.borrow_mut();
+impl ReleasingScheduler {
+    fn record(&self, event: &Event) {
+        let mut observed = self.observed.borrow_mut();
         match event {
             Event::Submit(call) => {
                 if let Work::Model { blocks, .. } = &call.work {
-                    told.asked.extend_from_slice(blocks);
+                    observed.requested.extend_from_slice(blocks);
                 }
             }
-            Event::Load { .. } => told.reports += 1,
-            Event::Cache { change: CacheChange::Stored(blocks), .. } => told.stored.extend_from_slice(blocks),
+            Event::Load { .. } => observed.reports += 1,
+            Event::Cache { change: CacheChange::Stored(blocks), .. } => {
+                observed.stored.extend_from_slice(blocks);
+            }
             Event::Cache { change: CacheChange::Evicted(blocks), .. } => {
-                told.evicted.extend_from_slice(blocks);
+                observed.evicted.extend_from_slice(blocks);
             }
             _ => {}
         }
     }
 }
 
-impl Scheduler for Releasing {
+impl Scheduler for ReleasingScheduler {
     fn step(&mut self, now: Timestamp, event: Event) -> Decisions {
-        self.note(&event);
+        self.record(&event);
         let ended = matches!(event, Event::Ended(_));
         let mut decisions = self.inner.step(now, event);
         if ended {
@@ -81,7 +83,7 @@
     }
 
     fn tick_interval(&self) -> Duration {
-        7 * INTERVAL
+        7 * REPORT_INTERVAL
     }
 
     fn backend_states(&self) -> Vec<BackendState> {
@@ -90,36 +92,45 @@
 }
 
 #[test]
-fn an_engine_reports_its_cache_and_releases_that_of_the_gone() {
+fn reports_and_releases_engine_caches() {
     run(async |executor| {
         let engine = Engine::start(&executor, EngineConfig::default()).await.unwrap();
-        let rig = Rig::new(&executor, &[engine.address], &[]);
-        let told = Rc::new(RefCell::new(Told::default()));
-        let scheduler = Releasing { inner: RoundRobinScheduler::default(), told: Rc::clone(&told) };
-        let node = rig.node_with(1, Box::new(scheduler)).await;
-        let calls = Rc::clone(&node.entry.dispatcher);
-        executor.spawn(async move { calls.run_background().await }).detach();
-        rig.open(&node).await;
-        let form = chat_body("small", &"You find replacements. ".repeat(60), "Ana is ill.", 2);
-        node.client.chat(&call(1, "k1"), &form).await.unwrap();
+        let harness = Harness::new(&executor, &[engine.address], &[]);
+        let observed = Rc::new(RefCell::new(ObservedEvents::default()));
+        let scheduler =
+            ReleasingScheduler { inner: RoundRobinScheduler::default(), observed: Rc::clone(&observed) };
+        let node = harness.start_node_with(1, Box::new(scheduler)).await;
+        let dispatcher = Rc::clone(&node.entry.dispatcher);
+        executor.spawn(async move { dispatcher.run_background().await }).detach();
+        harness.open_program(&node).await;
+        let body = chat_body("small", &"You find replacements. ".repeat(60), "Ana is ill.", 2);
+        node.client.chat(&call(1, "k1"), &body).await.unwrap();
         assert!(engine.cached_blocks() > 4);
 
         let report = async |expected: u32| {
-            rig.timer.armed(INTERVAL).await;
-            rig.timer.advance(INTERVAL);
-            while told.borrow().reports < expected {
+            harness.timer.wait_for_sleep(REPORT_INTERVAL).await;
+            harness.timer.advance(REPORT_INTERVAL);
+            while observed.borrow().reports < expected {
                 smol::future::yield_now().await;
             }
         };
         report(1).await;
-        assert_eq!(told.borrow().stored, told.borrow().asked, "both sides hash blocks alike");
+        assert_eq!(
+            observed.borrow().stored,
+            observed.borrow().requested,
+            "entry and engine must hash blocks alike"
+        );
 
         node.client.end(PROGRAM).await.unwrap();
         engine.wait_for_cache_order().await;
         assert_eq!(engine.cache_orders(), [(PROGRAM.to_owned(), "release".to_owned())]);
         assert_eq!(engine.cached_blocks(), 0);
         report(2).await;
-        assert_eq!(told.borrow().evicted, told.borrow().asked);
-        assert_eq!(told.borrow().stored, told.borrow().asked, "a change is told once");
+        assert_eq!(observed.borrow().evicted, observed.borrow().requested);
+        assert_eq!(
+            observed.borrow().stored,
+            observed.borrow().requested,
+            "a cache change must be reported once"
+        );
     });
 }
