--- a/agatetrestle/benches/decisions.rs
+++ b/agatetrestle/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What one decision costs, by the number of replicas and of programs under way.
+//! Time of a scheduling decision, by the numbers of replicas and of live programs.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -22,13 +22,13 @@
 use criterion::BenchmarkId;
 use criterion::Criterion;
 
-const REPLICAS: [u64; 4] = [10, 100, 375, 1_500];
-const PROGRAMS: [u64; 2] = [800, 8_000];
-const BLOCKS: u64 = 40;
+const REPLICA_COUNTS: [u64; 4] = [10, 100, 375, 1_500];
+const PROGRAM_COUNTS: [u64; 2] = [800, 8_000];
+const BLOCKS_PER_CALL: u64 = 40;
 const BLOCK_TOKENS: u32 = 512;
-const BETWEEN_CALLS: Duration = Duration::from_millis(5);
+const CALL_INTERVAL: Duration = Duration::from_millis(5);
 
-fn catalog(replicas: u64) -> Arc<Catalog> {
+fn build_catalog(replicas: u64) -> Arc<Catalog> {
     let mut catalog = Catalog::default();
     for number in 0..replicas {
         catalog.backends.push(Backend {
@@ -46,12 +46,13 @@
     Arc::new(catalog)
 }
 
-fn call(number: u64, programs: u64) -> Call {
+fn build_call(number: u64, programs: u64) -> Call {
     let program = number % programs;
     let name: Arc<str> = format!("program-{program}").into();
     let id = ProgramId { partner: "partner".into(), name };
-    let blocks: Vec<u64> =
-        (0..BLOCKS).map(|block| (program * BLOCKS + block).wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
+    let blocks: Vec<u64> = (0..BLOCKS_PER_CALL)
+        .map(|block| (program * BLOCKS_PER_CALL + block).wrapping_mul(0x9e37_79b9_7f4a_7c15))
+        .collect();
     Call {
         id: CallId(number),
         program: id.clone(),
@@ -69,21 +70,21 @@
     }
 }
 
-/// A scheduler that has seen a call of each program.
-fn warmed(replicas: u64, programs: u64) -> (Box<dyn Scheduler>, u64, Timestamp) {
+/// A scheduler that has handled one call of each program, with the next call number and the time.
+fn warmed_up_scheduler(replicas: u64, programs: u64) -> (Box<dyn Scheduler>, u64, Timestamp) {
     let cfg = SchedulerConfig { repeat_limit: u32::MAX, ..SchedulerConfig::default() };
     let mut scheduler = build(Policy::Adaptive, cfg, 1);
     let mut now = Timestamp(1);
-    scheduler.step(now, Event::Catalog(catalog(replicas)));
+    scheduler.step(now, Event::Catalog(build_catalog(replicas)));
     for number in 0..programs {
-        now = now + BETWEEN_CALLS;
-        serve(scheduler.as_mut(), call(number, programs), now);
+        now = now + CALL_INTERVAL;
+        run_call(scheduler.as_mut(), build_call(number, programs), now);
     }
     (scheduler, programs, now)
 }
 
-/// One whole call: placing, first token and answer.
-fn serve(scheduler: &mut dyn Scheduler, call: Call, now: Timestamp) {
+/// Runs one call through placement, first token and completion.
+fn run_call(scheduler: &mut dyn Scheduler, call: Call, now: Timestamp) {
     let id = call.id;
     black_box(scheduler.step(now, Event::Submit(call)));
     scheduler.step(now, Event::FirstToken(id));
@@ -95,36 +96,37 @@
     group.sample_size(20);
     group.measurement_time(Duration::from_secs(2));
     group.warm_up_time(Duration::from_millis(500));
-    for replicas in REPLICAS {
-        for programs in PROGRAMS {
-            let (mut scheduler, mut next, mut now) = warmed(replicas, programs);
+    for replicas in REPLICA_COUNTS {
+        for programs in PROGRAM_COUNTS {
+            let (mut scheduler, mut next, mut now) = warmed_up_scheduler(replicas, programs);
             let name = format!("{replicas} replicas {programs} programs");
             group.bench_function(BenchmarkId::new("place", &name), |bencher| {
                 bencher.iter_custom(|count| {
-                    let mut spent = Duration::ZERO;
+                    let mut elapsed = Duration::ZERO;
                     for _ in 0..count {
-                        let call = call(next, programs);
+                        let call = build_call(next, programs);
                         let id = call.id;
                         next += 1;
-                        now = now + BETWEEN_CALLS;
+                        now = now + CALL_INTERVAL;
                         let start = std::time::Instant::now();
                         black_box(scheduler.step(now, Event::Submit(call)));
-                        spent += start.elapsed();
+                        elapsed += start.elapsed();
                         scheduler.step(now, Event::FirstToken(id));
                         let finished = Event::Finished { call: id, output_tokens: 100, cached_tokens: 0 };
                         scheduler.step(now, finished);
                     }
-                    spent
+                    elapsed
                 });
             });
             group.bench_function(BenchmarkId::new("whole call", &name), |bencher| {
                 bencher.iter_custom(|count| {
-                    let calls: Vec<Call> = (0..count).map(|at| call(next + at, programs)).collect();
+                    let calls: Vec<Call> =
+                        (0..count).map(|offset| build_call(next + offset, programs)).collect();
                     next += count;
                     let start = std::time::Instant::now();
                     for call in calls {
-                        now = now + BETWEEN_CALLS;
-                        serve(scheduler.as_mut(), call, now);
+                        now = now + CALL_INTERVAL;
+                        run_call(scheduler.as_mut(), call, now);
                     }
                     start.elapsed()
                 });
