--- a/agatetrestle/examples/commits.rs
+++ b/agatetrestle/examples/commits.rs
@@ -1,8 +1,8 @@
-//! Commits a second of one group at several depths, against one synced write at a time.
+//! Commit throughput of one group by proposals in flight, compared with a sequential write-and-sync loop.
 //!
-//! Three replicas run in this process, each with its storage on real files and a thread of its own for it;
-//! messages pass through memory. `cargo run --release -p agatetrestle --example commits [payload bytes]`;
-//! the outcome stands in docs/MEASUREMENTS.md.
+//! Three replicas run in this process and exchange messages in memory. Each has storage on real files and a
+//! writer thread. Run it with `cargo run --release -p agatetrestle --example commits [payload bytes]`; results
+//! are in docs/MEASUREMENTS.md.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -35,48 +35,48 @@
 
 const REPLICAS: u64 = 3;
 const DEFAULT_PAYLOAD_BYTES: usize = 1_024;
-const DEPTHS: [u64; 3] = [1, 16, 256];
+const IN_FLIGHT_COUNTS: [u64; 3] = [1, 16, 256];
 const ROUNDS: usize = 5;
-const SPAN: Duration = Duration::from_secs(1);
-const TICK: Duration = Duration::from_millis(10);
+const ROUND_DURATION: Duration = Duration::from_secs(1);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 const SEGMENT_BYTES: usize = 64 << 20;
 
-/// What a replica tells the client.
-enum Told {
-    Leader(NodeId),
-    Done(Ticket),
-    Turned,
+/// An event that a replica reports to the load generator.
+enum ReplicaEvent {
+    Elected(NodeId),
+    Committed(Ticket),
+    Rejected,
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
     let payload = std::env::args().nth(1).map_or(Ok(DEFAULT_PAYLOAD_BYTES), |text| text.parse())?;
     let folder = std::env::temp_dir().join(format!("agatetrestle-commits-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let outcome = measure(&folder, &vec![7; payload].into());
+    let result = measure(&folder, &vec![7; payload].into());
     std::fs::remove_dir_all(&folder)?;
-    outcome
+    result
 }
 
-/// Alternates between the plain loop and the group, since other users of the disk slow both.
+/// Alternates between the baseline and the group, since other load on the disk slows both.
 fn measure(folder: &Path, payload: &Arc<[u8]>) -> Result<(), Box<dyn Error>> {
     println!("{} bytes each, {ROUNDS} rounds; median (lowest to highest)", payload.len());
-    for depth in DEPTHS {
+    for depth in IN_FLIGHT_COUNTS {
         let mut rounds: Vec<Round> = Vec::new();
         for round in 0..ROUNDS {
-            let before = synced_writes(folder, payload)?;
-            let (group, latency) = commits(&folder.join(format!("{depth}-{round}")), depth, payload)?;
-            let after = synced_writes(folder, payload)?;
-            let plain = f64::midpoint(before, after);
+            let before = measure_synced_writes(folder, payload)?;
+            let (group, latency) = measure_commits(&folder.join(format!("{depth}-{round}")), depth, payload)?;
+            let after = measure_synced_writes(folder, payload)?;
+            let baseline = f64::midpoint(before, after);
             rounds.push(Round {
-                plain,
+                baseline,
                 group,
-                ratio: group / plain,
+                ratio: group / baseline,
                 p50: millis(latency.value_at_quantile(0.5)),
                 p99: millis(latency.value_at_quantile(0.99)),
             });
         }
         println!("{depth} in flight:");
-        print_row("synced writes a second, one at a time", rounds.iter().map(|round| round.plain));
+        print_row("synced writes a second, one at a time", rounds.iter().map(|round| round.baseline));
         print_row("commits a second", rounds.iter().map(|round| round.group));
         print_row("ratio", rounds.iter().map(|round| round.ratio));
         print_row("p50, ms", rounds.iter().map(|round| round.p50));
@@ -85,20 +85,20 @@
     Ok(())
 }
 
-/// Figures of one round.
+/// Rates a second and latencies in milliseconds of one round.
 struct Round {
-    plain: f64,
+    baseline: f64,
     group: f64,
     ratio: f64,
     p50: f64,
     p99: f64,
 }
 
-fn print_row(what: &str, figures: impl Iterator<Item = f64>) {
-    let mut figures: Vec<f64> = figures.collect();
-    figures.sort_unstable_by(f64::total_cmp);
-    let (lowest, median, highest) = (figures[0], figures[ROUNDS / 2], figures[ROUNDS - 1]);
-    println!("  {what}: {median:.2} ({lowest:.2} to {highest:.2})");
+fn print_row(label: &str, values: impl Iterator<Item = f64>) {
+    let mut values: Vec<f64> = values.collect();
+    values.sort_unstable_by(f64::total_cmp);
+    let (lowest, median, highest) = (values[0], values[ROUNDS / 2], values[ROUNDS - 1]);
+    println!("  {label}: {median:.2} ({lowest:.2} to {highest:.2})");
 }
 
 #[expect(clippy::cast_precision_loss, reason = "microseconds of seconds fit")]
@@ -106,23 +106,27 @@
     micros as f64 / 1_000.0
 }
 
-/// Rate of a plain loop that appends and syncs.
-fn synced_writes(folder: &Path, payload: &[u8]) -> Result<f64, Box<dyn Error>> {
+/// Rate a second of a loop that appends and syncs.
+fn measure_synced_writes(folder: &Path, payload: &[u8]) -> Result<f64, Box<dyn Error>> {
     let mut file = File::create(folder.join("plain"))?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut count = 0_u32;
-    while begun.elapsed() < SPAN {
+    while started.elapsed() < ROUND_DURATION {
         file.write_all(payload)?;
         file.sync_data()?;
         count += 1;
     }
-    Ok(f64::from(count) / begun.elapsed().as_secs_f64())
+    Ok(f64::from(count) / started.elapsed().as_secs_f64())
 }
 
-/// Rate and latency in microseconds of commits with a fixed number in flight.
-fn commits(folder: &Path, depth: u64, payload: &Arc<[u8]>) -> Result<(f64, Histogram<u64>), Box<dyn Error>> {
+/// Rate a second and latency in microseconds of commits with `depth` proposals in flight.
+fn measure_commits(
+    folder: &Path,
+    depth: u64,
+    payload: &Arc<[u8]>,
+) -> Result<(f64, Histogram<u64>), Box<dyn Error>> {
     let clock = Clock::start();
-    let (tell, told) = mpsc::channel();
+    let (events_tx, events) = mpsc::channel();
     let links: Vec<(Sender<Input>, Receiver<Input>)> = (0..REPLICAS).map(|_| mpsc::channel()).collect();
     let senders: BTreeMap<NodeId, Sender<Input>> =
         (1..).map(NodeId).zip(links.iter().map(|(sender, _)| sender.clone())).collect();
@@ -131,18 +135,18 @@
         let (storage, restored) = Storage::open(&folder.join(id.0.to_string()), cfg)?;
         let initial = Replicas { voters: senders.keys().copied().collect(), learners: BTreeSet::new() };
         let replica = Replica::new(replica_config(id), initial, restored, clock.now());
-        let (writes, batches) = mpsc::channel();
-        let written = senders[&id].clone();
-        thread::spawn(move || store(storage, &batches, &written));
-        let (peers, tell) = (senders.clone(), tell.clone());
-        thread::spawn(move || drive(replica, clock, &inputs, &writes, &peers, &tell));
+        let (writes_tx, pending_writes) = mpsc::channel();
+        let inputs_tx = senders[&id].clone();
+        thread::spawn(move || run_writer(storage, &pending_writes, &inputs_tx));
+        let (peers, events_tx) = (senders.clone(), events_tx.clone());
+        thread::spawn(move || run_replica(replica, clock, &inputs, &writes_tx, &peers, &events_tx));
     }
     let leader = loop {
-        if let Told::Leader(node) = told.recv()? {
+        if let ReplicaEvent::Elected(node) = events.recv()? {
             break node;
         }
     };
-    load(&senders[&leader], &told, depth, payload)
+    run_load(&senders[&leader], &events, depth, payload)
 }
 
 fn replica_config(node: NodeId) -> ReplicaConfig {
@@ -159,10 +163,10 @@
     }
 }
 
-/// Keeps `depth` proposals in flight for [`SPAN`].
-fn load(
+/// Keeps `depth` proposals in flight for [`ROUND_DURATION`].
+fn run_load(
     leader: &Sender<Input>,
-    told: &Receiver<Told>,
+    events: &Receiver<ReplicaEvent>,
     depth: u64,
     payload: &Arc<[u8]>,
 ) -> Result<(f64, Histogram<u64>), Box<dyn Error>> {
@@ -177,79 +181,79 @@
         propose(&mut sent)?;
     }
     let mut latency = Histogram::new(3)?;
-    let begun = Instant::now();
-    while begun.elapsed() < SPAN {
-        let Told::Done(ticket) = told.recv()? else {
+    let started = Instant::now();
+    while started.elapsed() < ROUND_DURATION {
+        let ReplicaEvent::Committed(ticket) = events.recv()? else {
             return Err("leadership was lost during the measurement".into());
         };
-        if let Some(at) = sent.remove(&ticket) {
-            latency.record(u64::try_from(at.elapsed().as_micros())?)?;
+        if let Some(sent_at) = sent.remove(&ticket) {
+            latency.record(u64::try_from(sent_at.elapsed().as_micros())?)?;
         }
         propose(&mut sent)?;
     }
     let count = u32::try_from(latency.len())?;
-    Ok((f64::from(count) / begun.elapsed().as_secs_f64(), latency))
+    Ok((f64::from(count) / started.elapsed().as_secs_f64(), latency))
 }
 
-/// Runs one replica until its driver's channels close.
-fn drive(
+/// Runs one replica until its channels close.
+fn run_replica(
     mut replica: Replica,
     clock: Clock,
     inputs: &Receiver<Input>,
-    writes: &Sender<Write>,
+    writes_tx: &Sender<Write>,
     peers: &BTreeMap<NodeId, Sender<Input>>,
-    tell: &Sender<Told>,
+    events_tx: &Sender<ReplicaEvent>,
 ) {
-    let mut ticked = Instant::now();
+    let mut last_tick = Instant::now();
     loop {
-        let input = match inputs.recv_timeout(TICK) {
+        let input = match inputs.recv_timeout(TICK_INTERVAL) {
             Ok(input) => input,
             Err(RecvTimeoutError::Timeout) => Input::Tick,
             Err(RecvTimeoutError::Disconnected) => return,
         };
         let mut outputs = replica.step(clock.now(), input);
-        if ticked.elapsed() >= TICK {
-            ticked = Instant::now();
+        if last_tick.elapsed() >= TICK_INTERVAL {
+            last_tick = Instant::now();
             outputs.extend(replica.step(clock.now(), Input::Tick));
         }
         for output in outputs {
-            if !carry_out(output, &replica, writes, peers, tell) {
+            if !handle_output(output, &replica, writes_tx, peers, events_tx) {
                 return;
             }
         }
     }
 }
 
-/// Carries out one output; `false` once the measurement is over.
-fn carry_out(
+/// Returns `false` once the measurement is over.
+fn handle_output(
     output: Output,
     replica: &Replica,
-    writes: &Sender<Write>,
+    writes_tx: &Sender<Write>,
     peers: &BTreeMap<NodeId, Sender<Input>>,
-    tell: &Sender<Told>,
+    events_tx: &Sender<ReplicaEvent>,
 ) -> bool {
     match output {
-        Output::Write(write) => writes.send(write).is_ok(),
+        Output::Write(write) => writes_tx.send(write).is_ok(),
         Output::Send(message) => peers[&message.to].send(Input::Receive(message)).is_ok(),
-        Output::Apply { ticket: Some(ticket), .. } => tell.send(Told::Done(ticket)).is_ok(),
-        Output::Reject { .. } | Output::OutcomeUnknown(_) => tell.send(Told::Turned).is_ok(),
+        Output::Apply { ticket: Some(ticket), .. } => events_tx.send(ReplicaEvent::Committed(ticket)).is_ok(),
+        Output::Reject { .. } | Output::OutcomeUnknown(_) => events_tx.send(ReplicaEvent::Rejected).is_ok(),
         Output::Role { leader: Some(node), .. } if replica.is_leader() => {
-            tell.send(Told::Leader(node)).is_ok()
+            events_tx.send(ReplicaEvent::Elected(node)).is_ok()
         }
         _ => true,
     }
 }
 
-/// Writes what has gathered, with one sync for all of it.
-fn store(mut storage: Storage, batches: &Receiver<Write>, written: &Sender<Input>) {
-    while let Ok(first) = batches.recv() {
-        let batch: Vec<Write> = std::iter::once(first).chain(batches.try_iter()).collect();
+/// Writes all pending batches with one sync.
+fn run_writer(mut storage: Storage, pending_writes: &Receiver<Write>, inputs_tx: &Sender<Input>) {
+    while let Ok(first) = pending_writes.recv() {
+        let batch: Vec<Write> = std::iter::once(first).chain(pending_writes.try_iter()).collect();
         let last = batch[batch.len() - 1].sequence;
-        let outcome = match storage.write(&batch) {
+        let result = match storage.write(&batch) {
             Ok(()) => Input::Written(last),
             Err(_) => Input::WriteFailed,
         };
-        if written.send(outcome).is_err() {
+        if inputs_tx.send(result).is_err() {
             return;
         }
     }
--- a/agatetrestle/examples/daemon_manual.rs
+++ b/agatetrestle/examples/daemon_manual.rs
@@ -1,4 +1,4 @@
-//! Prints the manual page of the daemon, made from its command line.
+//! Prints the manual page of the daemon, generated from its command-line options.
 
 use agatetrestle::cli::Options;
 use bpaf::doc::Section;
--- a/agatetrestle/examples/metrics_memory.rs
+++ b/agatetrestle/examples/metrics_memory.rs
@@ -1,4 +1,4 @@
-//! Prints what the series of many label pairs take in resident memory and in one scrape.
+//! Prints the resident memory and the scrape size of the series of many label pairs.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use agatetrestle::ports::Measurement;
 use agatetrestle::ports::Recorder;
 
-const PAIRS: usize = 256;
-const PAGE: u64 = 4096;
+const LABEL_PAIRS: usize = 256;
+const PAGE_BYTES: u64 = 4096;
 
-fn resident() -> u64 {
-    let statm = std::fs::read_to_string("/proc/self/statm").expect("Linux tells the memory of a process");
+fn resident_bytes() -> u64 {
+    let statm = std::fs::read_to_string("/proc/self/statm").expect("Linux has /proc/self/statm");
     let pages = statm.split(' ').nth(1).and_then(|field| field.parse::<u64>().ok());
-    pages.expect("the second field is a number") * PAGE
+    pages.expect("the second field is the number of resident pages") * PAGE_BYTES
 }
 
 fn record_all(metrics: &Metrics, labels: &Labels) {
     let time = Duration::from_millis(20);
-    for measure in [
+    for measurement in [
         Measurement::ProgramLatency(time),
         Measurement::FirstToken(time),
         Measurement::BetweenTokens(time),
@@ -30,21 +30,21 @@
         Measurement::UnknownOutcome,
         Measurement::Tokens(1),
     ] {
-        metrics.record(labels, &measure);
+        metrics.record(labels, &measurement);
     }
 }
 
 fn main() {
-    let metrics = Metrics::new().expect("the exporter is set up once");
+    let metrics = Metrics::new().expect("the exporter can be registered");
     record_all(&metrics, &Labels { partner: "lernwerk".into(), class: "first".into() });
-    let before = resident();
-    for i in 1..PAIRS {
+    let before = resident_bytes();
+    for i in 1..LABEL_PAIRS {
         record_all(&metrics, &Labels { partner: "lernwerk".into(), class: format!("class-{i}").into() });
     }
-    let after = resident();
-    let scrape = metrics.render().expect("the series can be written").len();
-    let pairs = u64::try_from(PAIRS - 1).expect("small");
+    let after = resident_bytes();
+    let scrape = metrics.render().expect("the series can be encoded").len();
+    let pairs = u64::try_from(LABEL_PAIRS - 1).expect("the number of pairs fits");
     println!("{} bytes resident a label pair", (after - before) / pairs);
-    println!("{} bytes a label pair in one scrape", scrape / PAIRS);
-    println!("{} KiB resident after one scrape of {PAIRS} pairs", resident() / 1024);
+    println!("{} bytes a label pair in one scrape", scrape / LABEL_PAIRS);
+    println!("{} KiB resident after one scrape of {LABEL_PAIRS} pairs", resident_bytes() / 1024);
 }
--- a/agatetrestle/examples/quickstart/cluster.rs
+++ b/agatetrestle/examples/quickstart/cluster.rs
@@ -1,4 +1,4 @@
-//! Three nodes and the fakes that they meet.
+//! Three nodes and fakes of their backend servers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -27,51 +27,51 @@
 use snafu::ensure;
 
 const NODES: u64 = 3;
-const POLL: Duration = Duration::from_millis(10);
-const START_WITHIN: Duration = Duration::from_secs(10);
-const TOKENS: u64 = 24;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const ANSWER_TOKENS: u64 = 24;
 
-/// Why the quickstart could not even run.
+/// Why the quickstart could not run to its end.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum QuickstartError {
-    #[snafu(context(false), display("a node did not start: {source}"))]
+    #[snafu(context(false), display("failed to start a node: {source}"))]
     Node { source: NodeError },
-    #[snafu(context(false), display("a fake did not start: {source}"))]
+    #[snafu(context(false), display("failed to start a fake backend server or to bind a listener: {source}"))]
     Fake { source: std::io::Error },
-    #[snafu(context(false), display("a caller got no answer: {source}"))]
+    #[snafu(context(false), display("request to a node failed: {source}"))]
     Caller { source: ClientError },
-    #[snafu(display("the declarations were not accepted: {source}"))]
-    Declare { source: GroupError },
-    #[snafu(display("the declarations were not accepted: {reply:?}"))]
-    Declined { reply: ControlReply },
-    #[snafu(display("the nodes were not ready in time"))]
+    #[snafu(display("failed to commit the declarations: {source}"))]
+    DeclarationsNotCommitted { source: GroupError },
+    #[snafu(display("declarations refused: {reply:?}"))]
+    DeclarationsRefused { reply: ControlReply },
+    #[snafu(display("nodes not ready within {START_TIMEOUT:?}"))]
     NotReady,
-    #[snafu(display("no answer came on any address"))]
+    #[snafu(display("no node returned a final answer"))]
     NoAnswer,
 }
 
-/// A node on an executor of its own, so that it can be lost without the others noticing at once.
-pub struct Running {
+/// A node on its own executor, so that its open connections fall silent when it is killed.
+pub struct RunningNode {
     pub node: Rc<Node>,
-    runner: Option<Task<()>>,
+    task: Option<Task<()>>,
 }
 
-/// All processes that would be on VMs of their own.
-pub struct Cluster {
-    pub nodes: Vec<Running>,
+/// Nodes and fake backend servers, each of which would run on its own VM in production.
+pub struct LocalCluster {
+    pub nodes: Vec<RunningNode>,
     pub engines: Vec<Engine>,
     pub tool: Tool,
     pub bookings: Service,
     folder: PathBuf,
 }
 
-impl Cluster {
+impl LocalCluster {
     /// Starts everything and applies the declarations.
     pub async fn start(executor: &Rc<LocalExecutor<'static>>) -> Result<Self, QuickstartError> {
         let folder = std::env::temp_dir().join(format!("agatetrestle-quickstart-{}", std::process::id()));
         let engine = EngineConfig {
-            output_tokens: TOKENS,
+            output_tokens: ANSWER_TOKENS,
             token_delay: Duration::from_millis(4),
             ..EngineConfig::default()
         };
@@ -82,40 +82,40 @@
         let nodes = start_nodes(executor, &folder).await?;
         let cluster = Self { nodes, engines, tool, bookings, folder };
         cluster.wait_until(|node| node.control().taking_work().is_ok()).await?;
-        cluster.declare("shared", &cluster.shared()).await?;
-        cluster.declare("vrsta", VRSTA).await?;
+        cluster.declare("shared", &cluster.shared_document()).await?;
+        cluster.declare("vrsta", PARTNER_DOCUMENT).await?;
         cluster.wait_until(|node| node.control().configuration().documents.len() == 2).await?;
         Ok(cluster)
     }
 
-    /// Loses a node: its loops and sockets are gone, and what was open on it falls silent.
-    pub async fn lose(&mut self, address: SocketAddr) {
+    /// Stops a node as the loss of its VM would: its tasks end and its open connections fall silent.
+    pub async fn kill(&mut self, address: SocketAddr) {
         for running in &mut self.nodes {
-            if running.node.addresses().callers == address && running.runner.is_some() {
+            if running.node.addresses().callers == address && running.task.is_some() {
                 running.node.kill().await;
-                running.runner.take();
+                running.task.take();
             }
         }
     }
 
-    /// Name of the node behind a caller address.
-    pub fn name(&self, address: SocketAddr) -> String {
+    /// Name of the node with this caller address.
+    pub fn node_name(&self, address: SocketAddr) -> String {
         let position = self.nodes.iter().position(|running| running.node.addresses().callers == address);
         position.map_or_else(|| address.to_string(), |index| format!("node {}", index + 1))
     }
 
-    /// Addresses of the nodes that were not lost.
-    pub fn live(&self) -> Vec<SocketAddr> {
-        let live = self.nodes.iter().filter(|running| running.runner.is_some());
+    /// Caller addresses of the running nodes.
+    pub fn live_addresses(&self) -> Vec<SocketAddr> {
+        let live = self.nodes.iter().filter(|running| running.task.is_some());
         live.map(|running| running.node.addresses().callers).collect()
     }
 
     async fn wait_until(&self, ready: impl Fn(&Node) -> bool) -> Result<(), QuickstartError> {
         let mut waited = Duration::ZERO;
         while !self.nodes.iter().all(|running| ready(&running.node)) {
-            ensure!(waited < START_WITHIN, NotReadySnafu);
-            Timer::after(POLL).await;
-            waited += POLL;
+            ensure!(waited < START_TIMEOUT, NotReadySnafu);
+            Timer::after(POLL_INTERVAL).await;
+            waited += POLL_INTERVAL;
         }
         Ok(())
     }
@@ -129,44 +129,46 @@
             change_id: change_id.into(),
         };
         let reply = self.commit(command).await?;
-        ensure!(matches!(reply, ControlReply::Accepted { .. }), DeclinedSnafu { reply });
+        ensure!(matches!(reply, ControlReply::Accepted { .. }), DeclarationsRefusedSnafu { reply });
         Ok(())
     }
 
-    /// Offers a change again while no quorum took it, as operators do; its id makes that safe.
+    /// Retries a change until it is committed or times out; its id makes retries idempotent.
     async fn commit(&self, command: ControlCommand) -> Result<ControlReply, QuickstartError> {
         let control = self.nodes[0].node.control();
         let mut waited = Duration::ZERO;
         loop {
             match control.commit(command.clone()).await {
                 Ok(reply) => return Ok(reply),
-                Err(source) if waited >= START_WITHIN => return Err(QuickstartError::Declare { source }),
+                Err(source) if waited >= START_TIMEOUT => {
+                    return Err(QuickstartError::DeclarationsNotCommitted { source });
+                }
                 Err(_) => {}
             }
-            Timer::after(POLL).await;
-            waited += POLL;
+            Timer::after(POLL_INTERVAL).await;
+            waited += POLL_INTERVAL;
         }
     }
 
-    fn shared(&self) -> String {
-        let mut text = SHARED.to_owned();
+    fn shared_document(&self) -> String {
+        let mut text = SHARED_DOCUMENT.to_owned();
         for (index, engine) in self.engines.iter().enumerate() {
-            text += &backend(&format!("engine-{}", index + 1), "engine", engine.address, "assistant");
+            text += &backend_entry(&format!("engine-{}", index + 1), "engine", engine.address, "assistant");
         }
-        text += &backend("rota-1", "service", self.tool.address, "rota");
-        text += &backend("bookings-1", "service", self.bookings.address, "bookings");
+        text += &backend_entry("rota-1", "service", self.tool.address, "rota");
+        text += &backend_entry("bookings-1", "service", self.bookings.address, "bookings");
         text
     }
 }
 
-impl Drop for Cluster {
+impl Drop for LocalCluster {
     fn drop(&mut self) {
-        // Files that stay behind in the temporary folder are no failure of the run.
+        // Leftover files in the temporary folder are not a failure of the run.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn backend(name: &str, kind: &str, address: SocketAddr, serves: &str) -> String {
+fn backend_entry(name: &str, kind: &str, address: SocketAddr, serves: &str) -> String {
     format!(
         "  {name}:\n    kind: {kind}\n    address: {address}\n    serves: {serves}\n    vm: vm-{name}\n    failure_domain: domain-1\n    cache_tokens: 200000\n"
     )
@@ -175,7 +177,7 @@
 async fn start_nodes(
     executor: &Rc<LocalExecutor<'static>>,
     folder: &std::path::Path,
-) -> Result<Vec<Running>, QuickstartError> {
+) -> Result<Vec<RunningNode>, QuickstartError> {
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     let listen = Listen { callers: loopback, peers: loopback, operators: loopback, metrics: loopback };
     let mut listeners = Vec::new();
@@ -188,10 +190,12 @@
     let mut nodes = Vec::new();
     for (id, bound) in (1..=NODES).zip(listeners) {
         let settings = settings(id, &peers, folder);
-        let own = Rc::new(LocalExecutor::new());
-        let node = executor.run(Node::start(settings, bound, own.clone(), MissingFiles::Bootstrap)).await?;
-        let runner = executor.spawn(async move { own.run(std::future::pending::<()>()).await });
-        nodes.push(Running { node, runner: Some(runner) });
+        let node_executor = Rc::new(LocalExecutor::new());
+        let node = executor
+            .run(Node::start(settings, bound, node_executor.clone(), MissingFiles::Bootstrap))
+            .await?;
+        let task = executor.spawn(async move { node_executor.run(std::future::pending::<()>()).await });
+        nodes.push(RunningNode { node, task: Some(task) });
     }
     Ok(nodes)
 }
@@ -207,7 +211,7 @@
     settings
 }
 
-const SHARED: &str = "\
+const SHARED_DOCUMENT: &str = "\
 format: 1
 shares:
   vrsta: 1
@@ -222,7 +226,7 @@
 backend_servers:
 ";
 
-const VRSTA: &str = "\
+const PARTNER_DOCUMENT: &str = "\
 format: 1
 teams:
   dawn:
--- a/agatetrestle/examples/quickstart/main.rs
+++ b/agatetrestle/examples/quickstart/main.rs
@@ -1,7 +1,7 @@
-//! Three entry nodes with a durable state group, fakes of all backend servers and one program, in one process.
+//! Three entry nodes with a durable state group, fake backend servers and one program, in one process.
 //!
-//! It runs a program of several turns, loses a node in the middle, and exits with 0 only if every
-//! promise that it checks was kept.
+//! Runs a program of several turns, kills a node during a streamed answer, and exits with 0 only if every
+//! check passes.
 
 mod cluster;
 mod report;
@@ -16,9 +16,9 @@
     let executor = Rc::new(LocalExecutor::new());
     let report = smol::block_on(executor.run(scenario::run(&executor)));
     match report {
-        Ok(report) => report.conclude(),
-        Err(failure) => {
-            eprintln!("quickstart: {failure}");
+        Ok(report) => report.print(),
+        Err(error) => {
+            eprintln!("quickstart: {error}");
             ExitCode::FAILURE
         }
     }
--- a/agatetrestle/examples/quickstart/report.rs
+++ b/agatetrestle/examples/quickstart/report.rs
@@ -1,20 +1,20 @@
-//! What the quickstart prints and checks.
+//! The report of the quickstart and its checks.
 
 use std::process::ExitCode;
 use std::time::Duration;
 
 /// One turn of the program.
-pub struct Turn {
-    pub what: String,
+pub struct TurnSummary {
+    pub description: String,
     pub node: String,
-    pub took: Duration,
+    pub latency: Duration,
     pub answer: String,
 }
 
-/// Everything that was seen, with the checks.
+/// Turns, token counts and check results of a run.
 #[derive(Default)]
-pub struct Report {
-    pub turns: Vec<Turn>,
+pub struct RunReport {
+    pub turns: Vec<TurnSummary>,
     pub latency: Duration,
     pub spent: u64,
     pub budget: u64,
@@ -24,21 +24,21 @@
     checks: Vec<(String, bool)>,
 }
 
-impl Report {
-    /// Notes whether a promise was kept.
-    pub fn check(&mut self, promise: &str, kept: bool) {
-        self.checks.push((promise.to_owned(), kept));
+impl RunReport {
+    /// Records the result of a check.
+    pub fn check(&mut self, description: &str, passed: bool) {
+        self.checks.push((description.to_owned(), passed));
     }
 
-    /// Prints everything; succeeds only if every check held.
-    pub fn conclude(&self) -> ExitCode {
+    /// Prints the report and returns success only if every check passed.
+    pub fn print(&self) -> ExitCode {
         for (number, turn) in self.turns.iter().enumerate() {
             println!(
                 "{:>2}. {:<34} {:<8} {:>7.1} ms  {}",
                 number + 1,
-                turn.what,
+                turn.description,
                 turn.node,
-                millis(turn.took),
+                millis(turn.latency),
                 turn.answer
             );
         }
@@ -51,14 +51,14 @@
         );
         println!("wasted cache     {} tokens were computed again", self.recomputed_tokens);
         println!();
-        for (promise, kept) in &self.checks {
-            println!("{}  {promise}", if *kept { "held  " } else { "BROKEN" });
+        for (description, passed) in &self.checks {
+            println!("{}  {description}", if *passed { "held  " } else { "BROKEN" });
         }
-        let all = self.checks.iter().all(|(_, kept)| *kept);
-        if all { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+        let all_passed = self.checks.iter().all(|(_, passed)| *passed);
+        if all_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
     }
 }
 
-fn millis(span: Duration) -> f64 {
-    span.as_secs_f64() * 1_000.0
+fn millis(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1_000.0
 }
--- a/agatetrestle/examples/slopes/ledger.rs
+++ b/agatetrestle/examples/slopes/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: memory, time and snapshot by programs, with a history of realistic length on disk.
+//! The ledger: memory, call time and snapshot size by programs, with the history on disk.
 
 use std::sync::Arc;
 
@@ -16,19 +16,19 @@
 use agatetrestle::programs::command::Repeatable;
 use agatetrestle::programs::ledger::LedgerState;
 
-use crate::fit::Line;
+use crate::fit::ScalingFit;
 use crate::fit::Unit;
-use crate::fit::nanoseconds;
-use crate::fit::resident;
+use crate::fit::measure_nanoseconds;
+use crate::fit::resident_bytes;
 
-const SIZES: [u32; 4] = [10_000, 20_000, 40_000, 80_000];
-const CALLS: u32 = 10;
-const BODY: usize = 256;
-const SEGMENT: u64 = 16 << 20;
-/// Programs under way in the whole system.
-const PROGRAMS: f64 = 310_000.0;
-/// Requests a second in the whole system; each is a begin and a finish.
-const TIMED: u32 = 20_000;
+const PROGRAM_COUNTS: [u32; 4] = [10_000, 20_000, 40_000, 80_000];
+const CALLS_PER_PROGRAM: u32 = 10;
+const BODY_BYTES: usize = 256;
+const SEGMENT_BYTES: u64 = 16 << 20;
+/// Live programs in the whole system.
+const TARGET_PROGRAMS: f64 = 310_000.0;
+/// Calls timed at each number of programs; each is a `Begin` and a `Finish`.
+const TIMED_CALLS: u32 = 20_000;
 
 fn program(number: u32) -> ProgramId {
     ProgramId { partner: "vrsta".into(), name: format!("program-{number:08}").into() }
@@ -75,81 +75,105 @@
 
 fn execute(ledger: &mut LedgerState, command: ProgramCommand) {
     let reply = ledger.execute(command);
-    assert!(matches!(reply, ProgramReply::Done(_)), "a command was answered by {reply:?}");
+    assert!(matches!(reply, ProgramReply::Done(_)), "unexpected reply to a command: {reply:?}");
 }
 
-/// Memory and snapshots by programs without calls and with some; time of a begin and its finish.
-pub fn measure() -> Vec<Line> {
+/// Memory by programs and by calls, size and time of a snapshot, and time of a `Begin` with its `Finish`.
+pub fn measure() -> Vec<ScalingFit> {
     let folder = std::env::temp_dir().join(format!("agatetrestle-slopes-{}", std::process::id()));
-    let history = FileHistory::open(&folder, SEGMENT).expect("the temporary folder can be used");
+    let history = FileHistory::open(&folder, SEGMENT_BYTES).expect("the temporary folder can be used");
     let mut ledger = LedgerState::new(Box::new(history));
-    let body: Arc<[u8]> = vec![b'x'; BODY].into();
-    let mut idle = Vec::new();
+    let body: Arc<[u8]> = vec![b'x'; BODY_BYTES].into();
+    let mut program_memory = Vec::new();
     let mut snapshot = Vec::new();
     let mut snapshot_time = Vec::new();
-    let mut known = 0;
-    let base = resident();
-    for size in SIZES {
-        for number in known..size {
+    let mut program_count = 0;
+    let base = resident_bytes();
+    for programs in PROGRAM_COUNTS {
+        for number in program_count..programs {
             execute(&mut ledger, open(number));
         }
-        known = size;
-        idle.push((f64::from(size), resident() - base));
-        snapshot.push((f64::from(size), ledger.snapshot().len() as f64));
-        snapshot_time.push((f64::from(size), nanoseconds(3, 1, |_| ledger.snapshot().len())));
+        program_count = programs;
+        program_memory.push((f64::from(programs), resident_bytes() - base));
+        snapshot.push((f64::from(programs), ledger.snapshot().len() as f64));
+        snapshot_time.push((f64::from(programs), measure_nanoseconds(3, 1, |_| ledger.snapshot().len())));
     }
-    let with_calls = calls(&mut ledger, known, &body);
-    let pair = pairs(&mut ledger, known, &body);
-    // Files that stay behind in the temporary folder are no failure of the measurement.
+    let call_memory = measure_call_memory(&mut ledger, program_count, &body);
+    let call_time = measure_call_time(&mut ledger, program_count, &body);
+    // Leftover files in the temporary folder are not a failure of the measurement.
     let _ = std::fs::remove_dir_all(&folder);
-    let of = |what, unit, per, samples, carried_to| Line { what, unit, per, samples, carried_to };
+    let fit = |quantity, unit, per, samples, extrapolated_to| ScalingFit {
+        quantity,
+        unit,
+        per,
+        samples,
+        extrapolated_to,
+    };
     vec![
-        of("state replica: memory of programs without calls", Unit::Bytes, "program", idle, PROGRAMS),
-        of("state replica: memory of finished calls", Unit::Bytes, "call", with_calls, PROGRAMS * 20.0),
-        of("state replica: snapshot", Unit::Bytes, "program", snapshot, PROGRAMS),
-        of("state replica: time to code a snapshot", Unit::Nanoseconds, "program", snapshot_time, PROGRAMS),
-        of(
+        fit(
+            "state replica: memory of programs without calls",
+            Unit::Bytes,
+            "program",
+            program_memory,
+            TARGET_PROGRAMS,
+        ),
+        fit(
+            "state replica: memory of finished calls",
+            Unit::Bytes,
+            "call",
+            call_memory,
+            TARGET_PROGRAMS * 20.0,
+        ),
+        fit("state replica: snapshot", Unit::Bytes, "program", snapshot, TARGET_PROGRAMS),
+        fit(
+            "state replica: time to code a snapshot",
+            Unit::Nanoseconds,
+            "program",
+            snapshot_time,
+            TARGET_PROGRAMS,
+        ),
+        fit(
             "state replica: a begin and its finish, by programs known",
             Unit::Nanoseconds,
             "program",
-            pair,
-            PROGRAMS,
+            call_time,
+            TARGET_PROGRAMS,
         ),
     ]
 }
 
-/// Gives every program some calls and returns the memory by calls.
-fn calls(ledger: &mut LedgerState, programs: u32, body: &Arc<[u8]>) -> Vec<(f64, f64)> {
+/// Runs [`CALLS_PER_PROGRAM`] calls of every program and samples the memory by number of calls.
+fn measure_call_memory(ledger: &mut LedgerState, programs: u32, body: &Arc<[u8]>) -> Vec<(f64, f64)> {
     let mut samples = Vec::new();
-    let base = resident();
-    for call in 1..=CALLS {
+    let base = resident_bytes();
+    for call in 1..=CALLS_PER_PROGRAM {
         for number in 0..programs {
             execute(ledger, begin(number, call, body));
             execute(ledger, finish(number, call, body));
         }
         if call % 2 == 0 {
-            samples.push((f64::from(call * programs), resident() - base));
+            samples.push((f64::from(call * programs), resident_bytes() - base));
         }
     }
     samples
 }
 
-fn pairs(ledger: &mut LedgerState, known: u32, body: &Arc<[u8]>) -> Vec<(f64, f64)> {
+fn measure_call_time(ledger: &mut LedgerState, program_count: u32, body: &Arc<[u8]>) -> Vec<(f64, f64)> {
     let mut samples = Vec::new();
-    let mut next = CALLS;
-    for size in SIZES.into_iter().filter(|size| *size <= known) {
-        next += 1;
-        let count = TIMED.min(size);
-        // Programs spread over the whole map, each one call further.
-        let step = size / count;
-        let time = nanoseconds(1, count, |index| {
-            execute(ledger, begin(index * step, next, body));
-            execute(ledger, finish(index * step, next, body));
+    let mut call = CALLS_PER_PROGRAM;
+    for programs in PROGRAM_COUNTS.into_iter().filter(|programs| *programs <= program_count) {
+        call += 1;
+        let count = TIMED_CALLS.min(programs);
+        // The timed programs are spread evenly over the map; the others run the same call untimed.
+        let step = programs / count;
+        let time = measure_nanoseconds(1, count, |index| {
+            execute(ledger, begin(index * step, call, body));
+            execute(ledger, finish(index * step, call, body));
         });
-        samples.push((f64::from(size), time));
-        for index in (0..known).filter(|index| *index % step != 0 || *index / step >= count) {
-            execute(ledger, begin(index, next, body));
-            execute(ledger, finish(index, next, body));
+        samples.push((f64::from(programs), time));
+        for index in (0..program_count).filter(|index| *index % step != 0 || *index / step >= count) {
+            execute(ledger, begin(index, call, body));
+            execute(ledger, finish(index, call, body));
         }
     }
     samples
--- a/agatetrestle/examples/slopes/log.rs
+++ b/agatetrestle/examples/slopes/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log: coded bytes and leader's time of a commit by the size of its command.
+//! The replicated log: encoded bytes and leader time of a commit by the size of its command.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,22 +21,22 @@
 use agatetrestle::node::wire::write_message;
 use agatetrestle_schema::peer_capnp::agreement_message;
 
-use crate::fit::Line;
+use crate::fit::ScalingFit;
 use crate::fit::Unit;
-use crate::fit::nanoseconds;
+use crate::fit::measure_nanoseconds;
 
-const SIZES: [usize; 4] = [256, 1_024, 4_096, 16_384];
-/// Bytes of a begin or finish with a request or answer of the expected length.
-const EXPECTED: f64 = 1_000.0;
-const COMMITS: u32 = 5_000;
+const COMMAND_BYTES: [usize; 4] = [256, 1_024, 4_096, 16_384];
+/// Bytes of a `Begin` or `Finish` with an average request or answer.
+const TARGET_COMMAND_BYTES: f64 = 1_000.0;
+const TIMED_COMMITS: u32 = 5_000;
 
-/// A leader that answers itself for two followers which acknowledge everything at once.
-struct Leader {
+/// A leader whose two simulated followers accept every message immediately.
+struct SimulatedLeader {
     replica: Replica,
     now: Timestamp,
 }
 
-impl Leader {
+impl SimulatedLeader {
     fn new() -> Self {
         let cfg = ReplicaConfig {
             group: GroupId(1),
@@ -56,20 +56,20 @@
         };
         while !leader.replica.is_leader() {
             leader.now = leader.now + Duration::from_millis(10);
-            leader.feed(Input::Tick);
+            leader.step(Input::Tick);
         }
         leader
     }
 
-    /// Carries out an input and all that follows from it; returns the commands applied.
-    fn feed(&mut self, input: Input) -> usize {
+    /// Processes an input and all inputs that follow from it, and returns the number of commands applied.
+    fn step(&mut self, input: Input) -> usize {
         let mut inputs = vec![input];
         let mut applied = 0;
         while let Some(input) = inputs.pop() {
             for output in self.replica.step(self.now, input) {
                 match output {
                     Output::Write(write) => inputs.push(Input::Written(write.sequence)),
-                    Output::Send(message) => inputs.extend(answer(&message).map(Input::Receive)),
+                    Output::Send(message) => inputs.extend(follower_reply(&message).map(Input::Receive)),
                     Output::Apply { .. } => applied += 1,
                     _ => {}
                 }
@@ -79,7 +79,7 @@
     }
 }
 
-fn answer(message: &Message) -> Option<Message> {
+fn follower_reply(message: &Message) -> Option<Message> {
     let body = match &message.body {
         Body::PreVote { .. } => Body::PreVoteReply { granted: true },
         Body::Vote { .. } => Body::VoteReply { granted: true },
@@ -92,7 +92,7 @@
     Some(Message { group: message.group, from: message.to, to: message.from, term: message.term, body })
 }
 
-fn coded(size: usize) -> f64 {
+fn encoded_bytes(size: usize) -> f64 {
     let position = Position { term: 1, index: 1 };
     let entry = Entry { position, kind: EntryKind::Command, payload: vec![0; size].into() };
     let body = Body::Append {
@@ -108,26 +108,32 @@
     capnp::serialize::compute_serialized_size_in_words(&builder) as f64 * 8.0
 }
 
-/// Bytes to one follower and the leader's time, by the bytes of the command.
-pub fn measure() -> Vec<Line> {
-    let bytes = SIZES.iter().map(|size| (*size as f64, coded(*size))).collect();
+/// Bytes sent to one follower and time of the leader, by the bytes of the command.
+pub fn measure() -> Vec<ScalingFit> {
+    let bytes = COMMAND_BYTES.iter().map(|size| (*size as f64, encoded_bytes(*size))).collect();
     let time = |size: &usize| {
-        let mut leader = Leader::new();
+        let mut leader = SimulatedLeader::new();
         let payload: Arc<[u8]> = vec![0; *size].into();
-        let time = nanoseconds(3, COMMITS, |index| {
+        let time = measure_nanoseconds(3, TIMED_COMMITS, |index| {
             let applied =
-                leader.feed(Input::Propose { ticket: Ticket(u64::from(index)), payload: payload.clone() });
+                leader.step(Input::Propose { ticket: Ticket(u64::from(index)), payload: payload.clone() });
             assert_eq!(applied, 1);
         });
         (*size as f64, time)
     };
-    let of = |what, unit, samples| Line { what, unit, per: "byte of command", samples, carried_to: EXPECTED };
+    let fit = |quantity, unit, samples| ScalingFit {
+        quantity,
+        unit,
+        per: "byte of command",
+        samples,
+        extrapolated_to: TARGET_COMMAND_BYTES,
+    };
     vec![
-        of("state replica: bytes to a follower for one commit", Unit::Bytes, bytes),
-        of(
+        fit("state replica: bytes to a follower for one commit", Unit::Bytes, bytes),
+        fit(
             "state replica: leader's own time for one commit",
             Unit::Nanoseconds,
-            SIZES.iter().map(time).collect(),
+            COMMAND_BYTES.iter().map(time).collect(),
         ),
     ]
 }
--- a/agatetrestle/examples/slopes/main.rs
+++ b/agatetrestle/examples/slopes/main.rs
@@ -1,7 +1,7 @@
-//! Measures how the cost of each role grows with its size, and carries it to the size that the design must hold.
+//! Measures how the cost of each role grows with its size, and extrapolates it to the size that the design targets.
 //!
-//! It drives our own state machines and codecs in one process: no nodes, no network. The table that it prints
-//! is quoted in docs/CAPACITY.md; run it with `cargo run --release --example slopes`.
+//! Drives the state machines and codecs in one process, without nodes or network. Run it with
+//! `cargo run --release --example slopes`; docs/CAPACITY.md quotes the table that it prints.
 
 #![expect(clippy::cast_precision_loss, reason = "sizes and times stay far below 2^52")]
 
@@ -12,21 +12,21 @@
 mod members;
 mod scheduler;
 
-use fit::Line;
+use fit::ScalingFit;
 
 fn main() {
-    let (mut lines, _kept) = scheduler::measure();
-    lines.extend(ledger::measure());
-    lines.extend(log::measure());
-    lines.extend(control::measure());
-    lines.extend(members::measure());
-    print_table(&lines);
+    let (mut fits, _scheduler) = scheduler::measure();
+    fits.extend(ledger::measure());
+    fits.extend(log::measure());
+    fits.extend(control::measure());
+    fits.extend(members::measure());
+    print_table(&fits);
 }
 
-fn print_table(lines: &[Line]) {
+fn print_table(fits: &[ScalingFit]) {
     println!("| what | measured at | slope | fixed part | residual | carried to | result |");
     println!("|---|---|---|---|---|---|---|");
-    for line in lines {
-        println!("{}", line.row());
+    for fit in fits {
+        println!("{}", fit.row());
     }
 }
--- a/agatetrestle/examples/slopes/scheduler.rs
+++ b/agatetrestle/examples/slopes/scheduler.rs
@@ -1,4 +1,4 @@
-//! An entry node's decisions: time by replicas, memory by live programs.
+//! The scheduler of an entry node: decision time by replicas, and memory by live programs.
 
 use std::sync::Arc;
 
@@ -17,22 +17,22 @@
 use agatetrestle::scheduler::event::Work;
 use agatetrestle_config::declarations::BackendKind;
 
-use crate::fit::Line;
+use crate::fit::ScalingFit;
 use crate::fit::Unit;
-use crate::fit::nanoseconds;
-use crate::fit::resident;
+use crate::fit::measure_nanoseconds;
+use crate::fit::resident_bytes;
 
-const REPLICAS: [u32; 4] = [50, 100, 200, 400];
-/// Replicas that a node sees in its region.
-const REGION: f64 = 375.0;
-const PROGRAMS: [u64; 4] = [1_000, 2_000, 4_000, 8_000];
-/// Live programs on one of 400 nodes.
-const PER_NODE: f64 = 775.0;
-const CALLS: u32 = 4_000;
-/// Blocks of 64 tokens of an average history.
-const BLOCKS: u64 = 625;
+const REPLICA_COUNTS: [u32; 4] = [50, 100, 200, 400];
+/// Replicas in one region.
+const TARGET_REPLICAS: f64 = 375.0;
+const PROGRAM_COUNTS: [u64; 4] = [1_000, 2_000, 4_000, 8_000];
+/// Live programs on one entry node.
+const TARGET_LIVE_PROGRAMS: f64 = 775.0;
+const TIMED_CALLS: u32 = 4_000;
+/// Blocks in an average history, of 64 tokens each.
+const BLOCKS_PER_PROGRAM: u64 = 625;
 
-fn catalog(replicas: u32) -> Catalog {
+fn build_catalog(replicas: u32) -> Catalog {
     let backend = |number: u32| Backend {
         name: format!("engine-{number:04}").into(),
         kind: BackendKind::Engine,
@@ -45,13 +45,13 @@
     Catalog { backends: (0..replicas).map(backend).collect(), ..Catalog::default() }
 }
 
-fn scheduler(replicas: u32) -> Box<dyn Scheduler> {
+fn build_scheduler(replicas: u32) -> Box<dyn Scheduler> {
     let mut scheduler = build(Policy::default(), SchedulerConfig::default(), 7);
-    scheduler.step(Timestamp(0), Event::Catalog(Arc::new(catalog(replicas))));
+    scheduler.step(Timestamp(0), Event::Catalog(Arc::new(build_catalog(replicas))));
     scheduler
 }
 
-fn call(id: u64, program: u64, blocks: &Arc<[u64]>) -> Event {
+fn submit_event(id: u64, program: u64, blocks: &Arc<[u64]>) -> Event {
     let program = ProgramId { partner: "vrsta".into(), name: format!("program-{program}").into() };
     Event::Submit(Call {
         id: CallId(id),
@@ -70,49 +70,50 @@
     })
 }
 
-fn serve(scheduler: &mut Box<dyn Scheduler>, now: u64, id: u64, program: u64, blocks: &Arc<[u64]>) {
-    let decided = scheduler.step(Timestamp(now), call(id, program, blocks));
-    assert_eq!(decided.actions.len(), 1);
+fn run_call(scheduler: &mut Box<dyn Scheduler>, now: u64, id: u64, program: u64, blocks: &Arc<[u64]>) {
+    let decisions = scheduler.step(Timestamp(now), submit_event(id, program, blocks));
+    assert_eq!(decisions.actions.len(), 1);
     scheduler
         .step(Timestamp(now), Event::Finished { call: CallId(id), output_tokens: 200, cached_tokens: 0 });
 }
 
-/// Time of a call's decisions by replicas; memory by live programs. The scheduler is returned so that its memory
-/// is not taken for that of what is measured next.
-pub fn measure() -> (Vec<Line>, Box<dyn Scheduler>) {
+/// Decision time of a call by replicas, and memory by live programs. The scheduler is returned so that it is not
+/// freed before the next measurement, which would distort the resident memory.
+pub fn measure() -> (Vec<ScalingFit>, Box<dyn Scheduler>) {
     let blocks: Arc<[u64]> = (0..8).collect();
-    let time = REPLICAS.map(|replicas| {
-        let mut scheduler = scheduler(replicas);
-        let time = nanoseconds(3, CALLS, |index| {
-            serve(&mut scheduler, u64::from(index), u64::from(index), u64::from(index) % 800, &blocks);
+    let time = REPLICA_COUNTS.map(|replicas| {
+        let mut scheduler = build_scheduler(replicas);
+        let time = measure_nanoseconds(3, TIMED_CALLS, |index| {
+            run_call(&mut scheduler, u64::from(index), u64::from(index), u64::from(index) % 800, &blocks);
         });
         (f64::from(replicas), time)
     });
-    let mut scheduler = scheduler(375);
-    let base = resident();
-    let mut known = 0;
-    let memory = PROGRAMS.map(|programs| {
-        for program in known..programs {
-            let own: Arc<[u64]> = (0..BLOCKS).map(|block| program * BLOCKS + block).collect();
-            serve(&mut scheduler, program, 1_000_000 + program, program, &own);
+    let mut scheduler = build_scheduler(375);
+    let base = resident_bytes();
+    let mut started_programs = 0;
+    let memory = PROGRAM_COUNTS.map(|programs| {
+        for program in started_programs..programs {
+            let program_blocks: Arc<[u64]> =
+                (0..BLOCKS_PER_PROGRAM).map(|block| program * BLOCKS_PER_PROGRAM + block).collect();
+            run_call(&mut scheduler, program, 1_000_000 + program, program, &program_blocks);
         }
-        known = programs;
-        (programs as f64, resident() - base)
+        started_programs = programs;
+        (programs as f64, resident_bytes() - base)
     });
     let lines = vec![
-        Line {
-            what: "entry: decisions about one call",
+        ScalingFit {
+            quantity: "entry: decisions about one call",
             unit: Unit::Nanoseconds,
             per: "replica",
             samples: time.to_vec(),
-            carried_to: REGION,
+            extrapolated_to: TARGET_REPLICAS,
         },
-        Line {
-            what: "entry: scheduler's memory",
+        ScalingFit {
+            quantity: "entry: scheduler's memory",
             unit: Unit::Bytes,
             per: "live program",
             samples: memory.to_vec(),
-            carried_to: PER_NODE,
+            extrapolated_to: TARGET_LIVE_PROGRAMS,
         },
     ];
     (lines, scheduler)
