--- a/agatetrestle/src/attempts/admin.rs
+++ b/agatetrestle/src/attempts/admin.rs
@@ -32,8 +32,7 @@
 use crate::scheduler::event::CacheCommand;
 use crate::scheduler::event::Event;
 
-/// Time between two polls of a backend server.
-const POLL_INTERVAL: Duration = Duration::from_secs(1);
+const REPORT_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 const ADMIN_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -105,8 +104,8 @@
                 let request = self.engines.cache_command(address, &program, command);
                 match with_timeout(&*self.timer, ADMIN_REQUEST_TIMEOUT, request).await {
                     Some(Ok(())) => {}
-                    Some(Err(e)) => log::debug!("Cache command failed: {e}."),
-                    None => log::debug!("Cache command timed out."),
+                    Some(Err(e)) => log::debug!("Cache command to {address} failed: {e}."),
+                    None => log::debug!("Cache command to {address} timed out."),
                 }
             });
         sending.await;
@@ -115,7 +114,7 @@
     /// Polls reports, for as long as the node runs.
     pub(super) async fn poll_reports(&self, dispatcher: &Dispatcher) {
         loop {
-            self.timer.after(POLL_INTERVAL).await;
+            self.timer.after(REPORT_POLL_INTERVAL).await;
             let polled = self.polled.borrow().clone();
             let polling =
                 iter(polled).for_each_concurrent(MAX_CONCURRENT_REQUESTS, async |(name, endpoint)| {
@@ -150,9 +149,9 @@
     }
 }
 
-/// Splits a cache order into its program, its engine and the command to send.
-pub(super) fn into_command(order: CacheCommand) -> (ProgramId, BackendKey, EngineCommand) {
-    match order {
+/// Splits a cache command into its program, its engine and the command to send to it.
+pub(super) fn into_command(command: CacheCommand) -> (ProgramId, BackendKey, EngineCommand) {
+    match command {
         CacheCommand::Release { program, backend } => (program, backend, EngineCommand::Release),
         CacheCommand::Export { program, backend } => (program, backend, EngineCommand::Export),
         CacheCommand::Import { program, backend } => (program, backend, EngineCommand::Import),
--- a/agatetrestle/src/attempts/call.rs
+++ b/agatetrestle/src/attempts/call.rs
@@ -77,7 +77,7 @@
 /// The caller's side of a call.
 pub trait Caller {
     /// Called before the first attempt. If it returns false, the call is not sent and the caller keeps the
-    /// reason. A call refused in the queue never gets here, so it has cost nothing.
+    /// reason. It is not called for a call that is refused in the queue, which therefore costs nothing.
     fn admit(&self) -> LocalBoxFuture<'_, bool>;
 
     /// Tokens that all attempts together may use. Read after the call is admitted.
--- a/agatetrestle/src/attempts/call_task.rs
+++ b/agatetrestle/src/attempts/call_driver.rs
@@ -29,11 +29,11 @@
 
 /// A call registered with the dispatcher. Dropping it deregisters the call, and cancels it at the scheduler
 /// unless it has ended there.
-pub(super) struct CallTask<'a> {
+pub(super) struct CallDriver<'a> {
     dispatcher: &'a Dispatcher,
     call: &'a OutgoingCall,
     caller: &'a dyn Caller,
-    caller_gone: &'a Receiver<()>,
+    disconnected: &'a Receiver<()>,
     stats: &'a Cell<CallStats>,
     id: CallId,
     actions: Receiver<CallAction>,
@@ -50,7 +50,7 @@
     error_reply: RefCell<Option<BackendReply>>,
 }
 
-impl ExchangeObserver for CallTask<'_> {
+impl ExchangeObserver for CallDriver<'_> {
     fn on_write(&self) {
         self.delivery.borrow_mut().begin_write();
     }
@@ -68,7 +68,7 @@
     }
 }
 
-impl Drop for CallTask<'_> {
+impl Drop for CallDriver<'_> {
     fn drop(&mut self) {
         self.dispatcher.deregister(self.id);
         if !self.ended.get() {
@@ -77,12 +77,12 @@
     }
 }
 
-impl<'a> CallTask<'a> {
+impl<'a> CallDriver<'a> {
     pub(super) fn new(
         dispatcher: &'a Dispatcher,
         call: &'a OutgoingCall,
         caller: &'a dyn Caller,
-        caller_gone: &'a Receiver<()>,
+        disconnected: &'a Receiver<()>,
         stats: &'a Cell<CallStats>,
     ) -> Self {
         let (id, actions) = dispatcher.register();
@@ -90,7 +90,7 @@
             dispatcher,
             call,
             caller,
-            caller_gone,
+            disconnected,
             stats,
             id,
             actions,
@@ -196,7 +196,7 @@
 
     /// Completes when the caller disconnects; never completes for a detached call.
     async fn caller_disconnected<T>(&self) -> Option<T> {
-        while self.caller_gone.recv().await.is_ok() {}
+        while self.disconnected.recv().await.is_ok() {}
         if self.detached.get() {
             std::future::pending::<()>().await;
         }
--- a/agatetrestle/src/attempts/dispatcher.rs
+++ b/agatetrestle/src/attempts/dispatcher.rs
@@ -27,7 +27,7 @@
 use crate::attempts::call::CallStats;
 use crate::attempts::call::Caller;
 use crate::attempts::call::OutgoingCall;
-use crate::attempts::call_task::CallTask;
+use crate::attempts::call_driver::CallDriver;
 use crate::attempts::catalog;
 use crate::attempts::catalog::Endpoints;
 use crate::clock::Clock;
@@ -41,7 +41,7 @@
 use crate::scheduler::event::Failure;
 use crate::scheduler::event::RefusalReason;
 
-/// A scheduler action as sent to the task of its call.
+/// A scheduler action as sent to the `CallDriver` of its call.
 pub(super) enum CallAction {
     Dispatch { backend: BackendKey, priority: u8 },
     Refuse { reason: RefusalReason, retry_after: Duration },
@@ -131,8 +131,8 @@
         for action in decisions.actions {
             self.send_action(action);
         }
-        for order in decisions.cache_commands {
-            let (program, backend, command) = admin::into_command(order);
+        for command in decisions.cache_commands {
+            let (program, backend, command) = admin::into_command(command);
             if let Some((_, address)) = self.endpoint(backend) {
                 self.admin.enqueue(program, command, address);
             }
@@ -160,17 +160,17 @@
         self.calls.borrow().len()
     }
 
-    /// Runs one call, with as many attempts as the scheduler decides. Dropping the sender of `caller_gone`
+    /// Runs one call, with as many attempts as the scheduler decides. Dropping the sender of `disconnected`
     /// cancels the call, except after a streamed answer was interrupted: the caller was then told to retry
     /// and gets the answer of the next attempt.
     pub async fn run(
         &self,
         call: &OutgoingCall,
         caller: &dyn Caller,
-        caller_gone: &Receiver<()>,
+        disconnected: &Receiver<()>,
         stats: &Cell<CallStats>,
     ) -> CallOutcome {
-        CallTask::new(self, call, caller, caller_gone, stats).run().await
+        CallDriver::new(self, call, caller, disconnected, stats).run().await
     }
 
     pub(super) fn register(&self) -> (CallId, Receiver<CallAction>) {
--- a/agatetrestle/src/attempts/http.rs
+++ b/agatetrestle/src/attempts/http.rs
@@ -52,15 +52,15 @@
 
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Polls of an idle read within the idle timeout, since the chunk decoder of `async-h1` does not register
-/// a wake-up if trailers arrive in parts.
-const READ_POLLS: u32 = 8;
+/// Number of polls of an idle read within the idle timeout, since the chunk decoder of `async-h1` does not
+/// register a wake-up if trailers arrive in parts.
+const IDLE_POLLS: u32 = 8;
 
 const READ_BUFFER_BYTES: usize = 16 << 10;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const OUTCOME_NOT_RUN: &str = "not_run";
 const HTTP_1_0: &[u8] = b"HTTP/1.0 ";
-const EVENT_STREAM: &str = "text/event-stream";
+const EVENT_STREAM_MEDIA_TYPE: &str = "text/event-stream";
 
 /// HTTP client for engines and services.
 pub struct HttpBackendClient {
@@ -246,8 +246,8 @@
         reader: &mut R,
         buf: &mut [u8],
     ) -> Result<usize, ExchangeError> {
-        for _ in 0..READ_POLLS {
-            match with_timeout(self.timer, self.request.idle_timeout / READ_POLLS, reader.read(buf)).await {
+        for _ in 0..IDLE_POLLS {
+            match with_timeout(self.timer, self.request.idle_timeout / IDLE_POLLS, reader.read(buf)).await {
                 Some(Ok(count)) => return Ok(count),
                 Some(Err(e)) => return Err(exchange_error(Failure::Lost, format!("while reading: {e}"))),
                 None => {}
@@ -264,7 +264,7 @@
         kind: BackendKind,
     ) -> Result<BackendReply, ExchangeError> {
         let content_type = response.header("Content-Type").map_or("", |v| v.last().as_str()).to_owned();
-        let is_stream = kind == BackendKind::Engine && content_type.starts_with(EVENT_STREAM);
+        let is_stream = kind == BackendKind::Engine && content_type.starts_with(EVENT_STREAM_MEDIA_TYPE);
         let mut parser = SseParser::default();
         let mut received = Vec::new();
         let mut buf = vec![0; READ_BUFFER_BYTES];
@@ -331,7 +331,7 @@
 /// Checks a complete answer, and reads token usage and tool from a completion.
 fn check_reply(mut reply: BackendReply, kind: BackendKind) -> Result<BackendReply, ExchangeError> {
     let status = reply.answer.status;
-    let is_stream = reply.answer.content_type.starts_with(EVENT_STREAM);
+    let is_stream = reply.answer.content_type.starts_with(EVENT_STREAM_MEDIA_TYPE);
     if kind == BackendKind::Engine && status < 300 && !is_stream {
         let Ok(value) = serde_json::from_slice(&reply.answer.body) else {
             return Err(exchange_error(Failure::Lost, "the answer is no JSON"));
--- a/agatetrestle/src/attempts/http/tests.rs
+++ b/agatetrestle/src/attempts/http/tests.rs
@@ -152,7 +152,7 @@
     let (request, observer) = (request(), RecordingObserver::default());
     let exchange = Exchange { timer: &ExpiredTimer, request: &request, observer: &observer };
     let mut buf = [0];
-    assert_eq!(smol::block_on(exchange.read(&mut NeverWakes(READ_POLLS - 1), &mut buf)), Ok(1));
-    let error = smol::block_on(exchange.read(&mut NeverWakes(READ_POLLS), &mut buf)).unwrap_err();
+    assert_eq!(smol::block_on(exchange.read(&mut NeverWakes(IDLE_POLLS - 1), &mut buf)), Ok(1));
+    let error = smol::block_on(exchange.read(&mut NeverWakes(IDLE_POLLS), &mut buf)).unwrap_err();
     assert_eq!(error.failure, Failure::Lost);
 }
--- a/agatetrestle/src/attempts/mod.rs
+++ b/agatetrestle/src/attempts/mod.rs
@@ -16,7 +16,7 @@
 
 mod admin;
 pub mod call;
-mod call_task;
+mod call_driver;
 pub mod catalog;
 pub mod delivery;
 pub mod dispatcher;
