--- a/agatetrestle/src/entry/begin.rs
+++ b/agatetrestle/src/entry/begin.rs
@@ -36,9 +36,9 @@
     /// sent. Any other call may be a resend, so it is begun in the ledger before it is queued.
     pub(super) fn expected_program(&self) -> Option<RecentProgram> {
         routes::require_accepting_work(self.server).ok()?;
-        let outgoing = &self.call.outgoing;
-        let cached = self.server.state.recent.get(&outgoing.program)?;
-        (cached.view.next_call == outgoing.call && !cached.view.ended).then_some(cached)
+        let request = &self.call.request;
+        let cached = self.server.state.recent_programs.get(&request.program)?;
+        (cached.view.next_call == request.call && !cached.view.ended).then_some(cached)
     }
 
     pub(super) async fn begin(&self) -> Result<CallStart, Problem> {
@@ -66,7 +66,7 @@
     fn reservation(&self) -> u64 {
         let cost = self.call.cost;
         let with_retry = cost.saturating_mul(2);
-        let cached = self.server.state.recent.get(&self.call.outgoing.program);
+        let cached = self.server.state.recent_programs.get(&self.call.request.program);
         let left = cached.map_or(0, |cached| {
             let view = cached.view;
             view.spec.budget.saturating_sub(view.spent).saturating_sub(view.reserved)
@@ -75,14 +75,14 @@
     }
 
     fn begin_command(&self) -> ProgramCommand {
-        let outgoing = &self.call.outgoing;
+        let request = &self.call.request;
         ProgramCommand::Begin {
-            program: outgoing.program.clone(),
-            call: outgoing.call,
-            key: outgoing.key.clone(),
+            program: request.program.clone(),
+            call: request.call,
+            key: request.key.clone(),
             attempt: self.attempt,
             reserve: self.reserve.get(),
-            repeatable: outgoing.repeatable,
+            repeatable: request.repeatable,
             request: self.request_record(),
             digest: self.call.digest,
         }
@@ -90,11 +90,11 @@
 
     /// The request as the history stores it: only the new messages where it continues an earlier call.
     fn request_record(&self) -> Arc<[u8]> {
-        let cached = self.server.state.recent.get(&self.call.outgoing.program);
+        let cached = self.server.state.recent_programs.get(&self.call.request.program);
         let base = cached.and_then(|cached| cached.base);
         let conversation = self.call.conversation.as_ref().zip(base);
         let delta = conversation.and_then(|(conversation, base)| conversation.delta_from(&base));
-        delta.map_or_else(|| self.call.request.clone(), Arc::from)
+        delta.map_or_else(|| self.call.original_body.clone(), Arc::from)
     }
 
     fn mark_begun(&self, view: ProgramView) -> CallStart {
@@ -130,8 +130,8 @@
 
     /// Looks up the key of the request in the ledger.
     pub(super) async fn query_request(&self) -> Result<ProgramReply, GroupError> {
-        let outgoing = &self.call.outgoing;
-        let query = ProgramQuery::Request(outgoing.program.clone(), outgoing.key.clone());
+        let request = &self.call.request;
+        let query = ProgramQuery::Request(request.program.clone(), request.key.clone());
         match self.server.ledger.query(query).await? {
             QueryReply::One(reply) => Ok(reply),
             QueryReply::Many(_) => Ok(ProgramReply::Refused(Refusal::WrongState)),
@@ -144,9 +144,9 @@
         if may_still_run(self.server, holder) {
             return Err(programs::in_progress());
         }
-        let outgoing = &self.call.outgoing;
-        let (program, call) = (outgoing.program.clone(), outgoing.call);
-        if outgoing.repeatable == Repeatable::No {
+        let request = &self.call.request;
+        let (program, call) = (request.program.clone(), request.call);
+        if request.repeatable == Repeatable::No {
             let command = ProgramCommand::Unknown { program, call, attempt: holder };
             let reply = self.submit(command).await.map_err(|e| programs::unknown_outcome(&e))?;
             return match reply {
@@ -165,7 +165,7 @@
 
     /// The outermost ancestor of a program, or the program itself.
     pub(super) async fn root_program(&self, view: &ProgramView) -> ProgramId {
-        if let Some(cached) = self.server.state.recent.get(&view.program) {
+        if let Some(cached) = self.server.state.recent_programs.get(&view.program) {
             return cached.root;
         }
         let mut root = view.program.clone();
@@ -185,12 +185,12 @@
     }
 }
 
-/// Whether an attempt may still be running. A silent node may only be paused, but its attempt counts as ended:
-/// once it is replaced, the ledger refuses commands of the old attempt.
+/// Whether an attempt may still be running. An attempt of a node without heartbeats counts as ended, although the
+/// node may only be paused: the ledger refuses commands of an attempt that has been replaced.
 fn may_still_run(server: &ApiServer, attempt: AttemptId) -> bool {
     if attempt.node == server.node {
         let same_incarnation = attempt.incarnation == server.incarnation;
-        return same_incarnation && server.state.active.borrow().contains(&attempt);
+        return same_incarnation && server.state.active_attempts.borrow().contains(&attempt);
     }
     let members = server.members.members();
     let holder = members.iter().find(|member| member.node == attempt.node);
--- a/agatetrestle/src/entry/call_task.rs
+++ b/agatetrestle/src/entry/call_task.rs
@@ -76,7 +76,7 @@
 
 impl Drop for CallTask<'_> {
     fn drop(&mut self) {
-        self.server.state.active.borrow_mut().remove(&self.attempt);
+        self.server.state.active_attempts.borrow_mut().remove(&self.attempt);
     }
 }
 
@@ -117,8 +117,8 @@
 impl<'a> CallTask<'a> {
     fn new(server: &'a Rc<ApiServer>, call: &'a ParsedCall, sender: &'a ResponseSender) -> Self {
         let attempt = server.next_attempt();
-        server.state.active.borrow_mut().insert(attempt);
-        let partner = call.outgoing.program.partner.clone();
+        server.state.active_attempts.borrow_mut().insert(attempt);
+        let partner = call.request.program.partner.clone();
         Self {
             server,
             call,
@@ -154,16 +154,17 @@
             },
         };
         self.labels.borrow_mut().class = cached.view.spec.class.clone();
-        self.server.state.recent.insert(&cached.view, cached.root.clone());
+        self.server.state.recent_programs.insert(&cached.view, cached.root.clone());
         self.server.dispatcher.configure(&self.server.control.configuration());
-        let times = Cell::new(CallStats::default());
-        let outcome = self.server.dispatcher.run(&self.job(cached), self, disconnected, &times).await;
-        let settled = self.settle(outcome, times.get().lost_tokens).await;
-        self.record_times(times.get());
+        let stats = Cell::new(CallStats::default());
+        let outcome =
+            self.server.dispatcher.run(&self.outgoing_call(cached), self, disconnected, &stats).await;
+        let settled = self.settle(outcome, stats.get().lost_tokens).await;
+        self.record_stats(stats.get());
         settled
     }
 
-    fn job(&self, cached: RecentProgram) -> OutgoingCall {
+    fn outgoing_call(&self, cached: RecentProgram) -> OutgoingCall {
         OutgoingCall {
             root: cached.root,
             team: cached.view.spec.team.clone(),
@@ -171,7 +172,7 @@
             work: self.call.work.clone(),
             deadline: self.call.timeout.map(|timeout| self.arrived_at + timeout),
             max_attempt_tokens: self.call.cost,
-            request: self.call.outgoing.clone(),
+            request: self.call.request.clone(),
         }
     }
 
@@ -182,7 +183,7 @@
         let latency = self.server.clock.now().since(started);
         self.commit_time.set(self.commit_time.get() + latency);
         if let Ok(ProgramReply::Done(view)) = &reply {
-            self.server.state.recent.update(view);
+            self.server.state.recent_programs.update(view);
             let labels = Labels { class: view.spec.class.clone(), ..self.labels.borrow().clone() };
             self.server.recorder.record(&labels, &Measurement::Commit(latency));
         }
@@ -209,13 +210,13 @@
         }
     }
 
-    fn record_times(&self, times: CallStats) {
+    fn record_stats(&self, stats: CallStats) {
         let (recorder, labels) = (&self.server.recorder, self.labels.borrow());
         let total = self.server.clock.now().since(self.arrived_at);
-        let waited = times.queue_time + times.service_time + self.commit_time.get();
-        recorder.record(&labels, &Measurement::QueueWait(times.queue_time));
+        let waited = stats.queue_time + stats.service_time + self.commit_time.get();
+        recorder.record(&labels, &Measurement::QueueWait(stats.queue_time));
         recorder.record(&labels, &Measurement::AddedTime(total.saturating_sub(waited)));
-        for _ in 1..times.attempts {
+        for _ in 1..stats.attempts {
             recorder.record(&labels, &Measurement::Retried("failed"));
         }
     }
--- a/agatetrestle/src/entry/calls.rs
+++ b/agatetrestle/src/entry/calls.rs
@@ -50,7 +50,7 @@
 /// Lower estimate of bytes in a token, so that reservations cover the prompt: plain text has about four.
 const RESERVED_BYTES_PER_TOKEN: u64 = 2;
 
-/// Time without progress after which the connection to an engine is given up.
+/// Time without progress after which an exchange with an engine fails.
 const ENGINE_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
@@ -60,13 +60,13 @@
 #[derive(Clone, Debug)]
 pub struct ParsedCall {
     /// The request for the backend server.
-    pub outgoing: BackendRequest,
+    pub request: BackendRequest,
     /// The work that the scheduler places.
     pub work: Work,
     /// The most tokens that one attempt can cost.
     pub cost: u64,
     /// The original body, which the history stores unless the call continues an earlier one.
-    pub request: Arc<[u8]>,
+    pub original_body: Arc<[u8]>,
     /// The messages of a model call.
     pub conversation: Option<Conversation>,
     /// Digest of path, query and body.
@@ -179,7 +179,7 @@
         max_tokens: u32::try_from(max_tokens).unwrap_or(u32::MAX),
     };
     let prompt_bytes = u64::try_from(prompt.len()).unwrap_or(u64::MAX);
-    let outgoing = BackendRequest {
+    let backend_request = BackendRequest {
         program,
         call,
         key: routes::idempotency_key(request)?,
@@ -191,10 +191,10 @@
         idle_timeout: ENGINE_IDLE_TIMEOUT,
     };
     Ok(ParsedCall {
-        outgoing,
+        request: backend_request,
         work,
         cost: prompt_bytes.div_ceil(RESERVED_BYTES_PER_TOKEN).saturating_add(max_tokens),
-        request: body.into(),
+        original_body: body.into(),
         conversation: value.as_object_mut().map(std::mem::take).and_then(Conversation::parse),
         digest: digest(request, body),
         refusal,
@@ -223,7 +223,7 @@
     let repeatable = if service.repeatable && !run_once { Repeatable::Yes } else { Repeatable::No };
     let query = request.url().query().map(|q| format!("?{q}")).unwrap_or_default();
     let work = Work::Service { service: declared.pool(&program.partner, BackendKind::Service, name) };
-    let outgoing = BackendRequest {
+    let backend_request = BackendRequest {
         program,
         call,
         key: routes::idempotency_key(request)?,
@@ -235,10 +235,10 @@
         idle_timeout: service.timeout,
     };
     Ok(ParsedCall {
-        outgoing,
+        request: backend_request,
         work,
         cost: 0,
-        request: body.into(),
+        original_body: body.into(),
         conversation: None,
         digest: digest(request, body),
         refusal,
--- a/agatetrestle/src/entry/connection.rs
+++ b/agatetrestle/src/entry/connection.rs
@@ -20,7 +20,7 @@
 use crate::entry::request_reader::RequestReader;
 use crate::entry::routes;
 
-const WRITE_BUFFER_BYTES: usize = 16 << 10;
+const CONNECTION_BUFFER_BYTES: usize = 16 << 10;
 
 /// Bytes read and discarded after a refusal, so that the caller gets the refusal before a reset.
 const MAX_DRAINED_BYTES: usize = 256 << 10;
@@ -100,7 +100,7 @@
 /// Writes a response as its body becomes available; false if the caller stops reading or the body fails.
 async fn write(server: &ApiServer, stream: &mut TcpStream, response: Response, method: Method) -> bool {
     let mut encoder = Encoder::new(response, method);
-    let mut buf = vec![0; WRITE_BUFFER_BYTES];
+    let mut buf = vec![0; CONNECTION_BUFFER_BYTES];
     loop {
         let Ok(count) = encoder.read(&mut buf).await else {
             return false;
@@ -124,7 +124,7 @@
     }
     stream.shutdown(std::net::Shutdown::Write).ok();
     let draining = async {
-        let mut buf = vec![0; WRITE_BUFFER_BYTES];
+        let mut buf = vec![0; CONNECTION_BUFFER_BYTES];
         let mut drained = 0;
         while drained < MAX_DRAINED_BYTES {
             match stream.read(&mut buf).await {
--- a/agatetrestle/src/entry/mod.rs
+++ b/agatetrestle/src/entry/mod.rs
@@ -74,8 +74,8 @@
     in_flight: Cell<usize>,
     connections: Cell<u32>,
     last_attempt: Cell<u64>,
-    active: RefCell<HashSet<AttemptId>>,
-    recent: recent_programs::RecentPrograms,
+    active_attempts: RefCell<HashSet<AttemptId>>,
+    recent_programs: recent_programs::RecentPrograms,
     declarations: declarations::DeclarationCache,
 }
 
--- a/agatetrestle/src/entry/programs.rs
+++ b/agatetrestle/src/entry/programs.rs
@@ -96,8 +96,8 @@
     let body = request.body_bytes().await.map_err(|e| routes::malformed(e.to_string()))?;
     let opening: Opening = serde_json::from_slice(&body).map_err(|e| routes::malformed(e.to_string()))?;
     let labels = Labels { partner: opening.partner.clone(), class: opening.class.clone() };
-    let command =
-        prepare(server, &opening, key).map_err(|problem| routes::record_refusal(server, &labels, problem))?;
+    let command = open_command(server, &opening, key)
+        .map_err(|problem| routes::record_refusal(server, &labels, problem))?;
     if let Err(problem) = routes::require_accepting_work(server) {
         let outcome = check_opened(server, command.program()).await.err();
         let refusal = outcome.map(|outcome| Problem { outcome, ..problem });
@@ -106,12 +106,12 @@
     let reply = server.ledger.commit(command).await;
     let view = expect_view(reply).map_err(|problem| routes::record_refusal(server, &labels, problem))?;
     if view.spec.parent.is_none() {
-        server.state.recent.insert(&view, view.program.clone());
+        server.state.recent_programs.insert(&view, view.program.clone());
     }
     Ok(json_response(StatusCode::Created, &program_body(&view)))
 }
 
-fn prepare(server: &ApiServer, opening: &Opening, key: RequestKey) -> Result<ProgramCommand, Problem> {
+fn open_command(server: &ApiServer, opening: &Opening, key: RequestKey) -> Result<ProgramCommand, Problem> {
     let declared = server.state.declarations.get(&server.control.configuration());
     let class = declared.class(&opening.partner, &opening.team, &opening.class)?;
     let budget = opening.budget.unwrap_or(class.budget);
@@ -177,7 +177,7 @@
 /// Records the latency of an ended program, from its opening to its last answer on this node or, without one,
 /// to its end.
 fn record_latency(server: &ApiServer, view: &ProgramView) {
-    let cached = server.state.recent.remove(&view.program);
+    let cached = server.state.recent_programs.remove(&view.program);
     let answered_at = cached.map_or(0, |cached| cached.answered_at);
     let finished_at = if answered_at > 0 { answered_at } else { unix_millis() };
     let latency = Duration::from_millis(finished_at.saturating_sub(view.opened_at));
--- a/agatetrestle/src/entry/recent_programs.rs
+++ b/agatetrestle/src/entry/recent_programs.rs
@@ -23,7 +23,7 @@
     pub base: Option<BaseCall>,
 }
 
-/// Programs by identity; cleared as a whole when full.
+/// Programs by id; all of them are dropped when the limit is reached.
 #[derive(Debug, Default)]
 pub struct RecentPrograms {
     programs: RefCell<HashMap<ProgramId, RecentProgram>>,
--- a/agatetrestle/src/entry/settle.rs
+++ b/agatetrestle/src/entry/settle.rs
@@ -25,7 +25,7 @@
 
 impl CallTask<'_> {
     pub(super) async fn settle(&self, outcome: CallOutcome, lost_tokens: u64) -> Result<Answer, Problem> {
-        let (ending, problem) = match outcome {
+        let (execution, problem) = match outcome {
             CallOutcome::Answered(reply) => return self.finish(reply, lost_tokens).await,
             CallOutcome::NotAdmitted => {
                 return self.early_result.take().unwrap_or_else(|| Err(programs::in_progress()));
@@ -37,28 +37,28 @@
             CallOutcome::Failed { execution, detail, retry_after } => {
                 (execution, problem_for(execution, detail, retry_after))
             }
-            CallOutcome::Cancelled(ending) => {
-                (ending, problem_for(ending, "the caller went away".into(), RETRY_AFTER))
+            CallOutcome::Cancelled(execution) => {
+                (execution, problem_for(execution, "the caller went away".into(), RETRY_AFTER))
             }
         };
         if !self.begun.get() {
             return self.resolve_refusal(problem).await;
         }
-        self.end_attempt(ending).await;
+        self.end_attempt(execution).await;
         Err(problem)
     }
 
     /// Stores the answer and settles its cost, failed attempts included.
     async fn finish(&self, reply: BackendReply, lost_tokens: u64) -> Result<Answer, Problem> {
-        let outgoing = &self.call.outgoing;
+        let request = &self.call.request;
         let reserve = self.reserve.get();
         let spent = reply.usage.prompt.saturating_add(reply.usage.output).saturating_add(lost_tokens);
         if spent > reserve {
-            log::warn!("Program {} spent {spent} tokens of {reserve} reserved.", outgoing.program);
+            log::warn!("Program {} spent {spent} tokens but had reserved only {reserve}.", request.program);
         }
         let command = ProgramCommand::Finish {
-            program: outgoing.program.clone(),
-            call: outgoing.call,
+            program: request.program.clone(),
+            call: request.call,
             attempt: self.attempt,
             answer: reply.answer.clone(),
             spent: spent.min(reserve),
@@ -67,8 +67,12 @@
         match self.commit_with_retry(&command, MAX_STORE_TRIES).await {
             Some(ProgramReply::Done(_)) => {
                 let base =
-                    self.call.conversation.as_ref().map(|conversation| conversation.as_base(outgoing.call));
-                self.server.state.recent.record_answer(&outgoing.program, programs::unix_millis(), base);
+                    self.call.conversation.as_ref().map(|conversation| conversation.as_base(request.call));
+                self.server.state.recent_programs.record_answer(
+                    &request.program,
+                    programs::unix_millis(),
+                    base,
+                );
                 Ok(reply.answer)
             }
             Some(ProgramReply::Stored(answer)) => Ok(answer),
@@ -92,13 +96,13 @@
         }
     }
 
-    /// Commits how the attempt ended, or leaves that pending if the ledger does not reply. A repeatable call
-    /// that is marked as unknown may be begun again; its reservation stays charged.
-    pub(super) async fn end_attempt(&self, ending: ExecutionStatus) {
-        let program = self.call.outgoing.program.clone();
-        let call = self.call.outgoing.call;
+    /// Settles an attempt that got no answer, or leaves the settlement pending if the ledger does not reply. A
+    /// repeatable call that is marked as unknown may be begun again; its reservation stays charged.
+    pub(super) async fn end_attempt(&self, execution: ExecutionStatus) {
+        let program = self.call.request.program.clone();
+        let call = self.call.request.call;
         let attempt = self.attempt;
-        let command = match ending {
+        let command = match execution {
             ExecutionStatus::NotRun => ProgramCommand::NotRun { program, call, attempt },
             ExecutionStatus::Unknown | ExecutionStatus::Retryable => {
                 ProgramCommand::Unknown { program, call, attempt }
@@ -115,11 +119,11 @@
         if let Some(command) = pending
             && self.commit_with_retry(&command, MAX_SETTLE_TRIES).await.is_none()
         {
-            let outgoing = &self.call.outgoing;
+            let request = &self.call.request;
             log::error!(
                 "Call {} of program {} could not be settled and stays open.",
-                outgoing.call.0,
-                outgoing.program
+                request.call.0,
+                request.program
             );
         }
     }
@@ -132,15 +136,22 @@
             }
             match self.submit(command.clone()).await {
                 Ok(reply) => return Some(reply),
-                Err(e) => log::warn!("Committing a settlement failed: {e}."),
+                Err(e) => {
+                    let request = &self.call.request;
+                    log::warn!(
+                        "Settling call {} of program {} failed: {e}.",
+                        request.call.0,
+                        request.program
+                    );
+                }
             }
         }
         None
     }
 }
 
-fn problem_for(ending: ExecutionStatus, detail: Arc<str>, retry_after: Duration) -> Problem {
-    match ending {
+fn problem_for(execution: ExecutionStatus, detail: Arc<str>, retry_after: Duration) -> Problem {
+    match execution {
         ExecutionStatus::NotRun => {
             Problem::not_run(503, ProblemReason::Unreachable, detail).retry_after(retry_after)
         }
--- a/agatetrestle/src/programs/ledger.rs
+++ b/agatetrestle/src/programs/ledger.rs
@@ -33,7 +33,7 @@
 use crate::programs::program::ProgramState;
 use crate::programs::program::StoredAnswer;
 
-/// Programs in order of identity, so that every replica encodes the same snapshot. The bodies of requests and
+/// Programs in order of their ids, so that every replica encodes the same snapshot. The bodies of requests and
 /// answers are in the history.
 pub struct LedgerState {
     programs: BTreeMap<ProgramId, ProgramState>,
