--- a/agatetrestle/src/scheduler/classes.rs
+++ b/agatetrestle/src/scheduler/classes.rs
@@ -10,9 +10,9 @@
 
 const DEFAULT_OUTPUT_TOKENS: u64 = 200;
 const DEFAULT_PROGRAM_TOKENS: u64 = 4_000;
-const PROGRAM_TOKENS_WINDOW: u64 = 32;
+const PROGRAM_TOKENS_SAMPLES: u64 = 32;
 const MIN_CAPACITY_PERCENT: u64 = 50;
-const OUTPUT_TOKENS_WINDOW: u64 = 16;
+const OUTPUT_TOKENS_SAMPLES: u64 = 16;
 const DEFAULT_RULE: ClassRule = ClassRule { priority: 0, deadline: None, keepalive: Duration::from_mins(5) };
 
 #[derive(Debug)]
@@ -72,7 +72,7 @@
     pub fn record_output(&mut self, partner: &Arc<str>, class: &Arc<str>, tokens: u64) {
         if let Some(class) = self.by_name.get_mut(&(partner.clone(), class.clone())) {
             class.output_tokens =
-                (class.output_tokens * (OUTPUT_TOKENS_WINDOW - 1) + tokens).div_ceil(OUTPUT_TOKENS_WINDOW);
+                (class.output_tokens * (OUTPUT_TOKENS_SAMPLES - 1) + tokens).div_ceil(OUTPUT_TOKENS_SAMPLES);
         }
     }
 
@@ -98,8 +98,8 @@
     /// Records the tokens that a program held at its end.
     pub fn record_tokens(&mut self, partner: &Arc<str>, class: &Arc<str>, tokens: u64) {
         if let Some(class) = self.by_name.get_mut(&(partner.clone(), class.clone())) {
-            class.program_tokens =
-                (class.program_tokens * (PROGRAM_TOKENS_WINDOW - 1) + tokens).div_ceil(PROGRAM_TOKENS_WINDOW);
+            class.program_tokens = (class.program_tokens * (PROGRAM_TOKENS_SAMPLES - 1) + tokens)
+                .div_ceil(PROGRAM_TOKENS_SAMPLES);
         }
     }
 
--- a/agatetrestle/src/scheduler/config.rs
+++ b/agatetrestle/src/scheduler/config.rs
@@ -51,7 +51,7 @@
     /// Tokens that admitted programs may hold, in percent of the engines' prefix caches; above 100 they rely
     /// on exports.
     pub door_fill: u64,
-    /// Percentage of these tokens up to which partners may exceed their shares.
+    /// Percentage of the tokens of `door_fill` up to which partners may exceed their shares.
     pub door_lent: u64,
     /// Percentile of past pauses that predicts the end of a pause.
     pub return_percent: u32,
--- a/agatetrestle/src/scheduler/core/admission.rs
+++ b/agatetrestle/src/scheduler/core/admission.rs
@@ -36,7 +36,7 @@
         self.update_admission(pool, &partner);
         let percent = self.classes.capacity_percent(&partner, &self.calls[key].call.class);
         if self.admissions[pool].admits(&partner, tokens, percent) {
-            self.start_program(key, tokens);
+            self.reserve_and_enqueue(key, tokens);
             return;
         }
         let queued = self.rank(key);
@@ -48,7 +48,7 @@
         self.admission_timeouts.insert((entry.submitted + timeout, key));
     }
 
-    /// Admits waiting programs for which there is enough memory.
+    /// Admits waiting programs while the pool has cache memory for them.
     pub(super) fn admit_waiting(&mut self, pool: PoolKey) {
         while let Some((partner, queued)) = self.admissions.get(pool).and_then(TokenAdmission::next) {
             let class = &self.calls[queued.call].call.class;
@@ -58,7 +58,7 @@
                 return;
             }
             self.remove_from_admission(queued.call, queued);
-            self.start_program(queued.call, tokens);
+            self.reserve_and_enqueue(queued.call, tokens);
         }
     }
 
@@ -102,7 +102,7 @@
         self.admissions[pool].update_reservation(&partner, reserved, own_tokens);
     }
 
-    fn start_program(&mut self, key: CallKey, tokens: u64) {
+    fn reserve_and_enqueue(&mut self, key: CallKey, tokens: u64) {
         let entry = &self.calls[key];
         let (pool, program) = (entry.pool, entry.program);
         let partner = entry.owner.partner.clone();
@@ -119,9 +119,9 @@
         }
         let members = &self.fleet.pools[pool].members;
         let usable = members.iter().map(|key| &self.fleet.servers[*key]).filter(|server| server.usable());
-        let memory: u64 = usable.map(|server| server.cache_budget(PERCENT)).sum();
+        let cache_tokens: u64 = usable.map(|server| server.cache_budget(PERCENT)).sum();
         let share = self.catalog.shares.get(partner).copied().unwrap_or(1);
-        self.admissions[pool].set_capacity(memory * self.cfg.door_fill / PERCENT, self.cfg.door_lent);
+        self.admissions[pool].set_capacity(cache_tokens * self.cfg.door_fill / PERCENT, self.cfg.door_lent);
         self.admissions[pool].set_share(partner, share);
     }
 }
--- a/agatetrestle/src/scheduler/core/cache.rs
+++ b/agatetrestle/src/scheduler/core/cache.rs
@@ -31,7 +31,7 @@
         server.idle_programs.insert((expected, key));
     }
 
-    /// Excludes a program from export because its pause is over.
+    /// Removes a program from the idle programs of its engine, so that it is not exported.
     pub(super) fn remove_idle_program(&mut self, key: ProgramKey, expected: Timestamp) {
         let Some(PrefixLocation::Cached(engine)) =
             self.programs.get(key).map(|program| program.prefix_location)
--- a/agatetrestle/src/scheduler/fleet.rs
+++ b/agatetrestle/src/scheduler/fleet.rs
@@ -26,7 +26,7 @@
 
 const UNDECLARED_CACHE_TOKENS: u64 = 1 << 40;
 const INITIAL_SLOWDOWN_PERCENT: u64 = 100;
-const SLOWDOWN_WINDOW: u64 = 8;
+const SLOWDOWN_SAMPLES: u64 = 8;
 
 /// A backend server and its state on this node.
 #[derive(Debug)]
@@ -99,7 +99,7 @@
     /// Records the time per generated token as a percentage of the expected time.
     pub fn record_token_time(&mut self, percent: u64) {
         self.slowdown_percent =
-            ((self.slowdown_percent * (SLOWDOWN_WINDOW - 1) + percent) / SLOWDOWN_WINDOW).max(1);
+            ((self.slowdown_percent * (SLOWDOWN_SAMPLES - 1) + percent) / SLOWDOWN_SAMPLES).max(1);
     }
 
     /// Whether it accepts calls, free slots aside.
--- a/agatetrestle/src/scheduler/service_histogram.rs
+++ b/agatetrestle/src/scheduler/service_histogram.rs
@@ -17,12 +17,12 @@
 #[derive(Clone, Debug)]
 pub struct ServiceHistogram {
     buckets: [Bucket; BUCKET_COUNT],
-    total: u64,
+    sample_count: u64,
 }
 
 impl Default for ServiceHistogram {
     fn default() -> Self {
-        Self { buckets: [Bucket::default(); BUCKET_COUNT], total: 0 }
+        Self { buckets: [Bucket::default(); BUCKET_COUNT], sample_count: 0 }
     }
 }
 
@@ -32,8 +32,8 @@
         let bucket = &mut self.buckets[bucket_of(service)];
         bucket.count += 1;
         bucket.sum += service;
-        self.total += 1;
-        if self.total < DECAY_SAMPLE_COUNT {
+        self.sample_count += 1;
+        if self.sample_count < DECAY_SAMPLE_COUNT {
             return;
         }
         for bucket in &mut self.buckets {
@@ -41,14 +41,14 @@
             bucket.sum = bucket.sum.checked_div(bucket.count).unwrap_or_default() * halved;
             bucket.count = halved;
         }
-        self.total = self.buckets.iter().map(|bucket| bucket.count).sum();
+        self.sample_count = self.buckets.iter().map(|bucket| bucket.count).sum();
     }
 
     /// Mean total service, or none with fewer than `MIN_SAMPLES` samples.
     #[must_use]
     pub fn mean(&self) -> Option<u64> {
         let sum: u64 = self.buckets.iter().map(|bucket| bucket.sum).sum();
-        (self.total >= MIN_SAMPLES).then(|| sum / self.total)
+        (self.sample_count >= MIN_SAMPLES).then(|| sum / self.sample_count)
     }
 
     /// Mean remaining service of the programs whose total was at least `attained`. With too few samples it is
--- a/agatetrestle/src/trace/recorder.rs
+++ b/agatetrestle/src/trace/recorder.rs
@@ -228,7 +228,11 @@
     fn write(&self, call: &TraceCall) {
         match format(std::slice::from_ref(call)) {
             Ok(line) => self.log.push(line.trim_end()),
-            Err(e) => log::warn!("Trace line could not be serialized: {e}."),
+            Err(e) => log::warn!(
+                "Trace line of a call of {}/{} could not be serialized: {e}.",
+                call.partner,
+                call.program
+            ),
         }
     }
 }
--- a/agatetrestle/src/trace/recorder/tests.rs
+++ b/agatetrestle/src/trace/recorder/tests.rs
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn evicts_the_oldest_of_too_many_programs() {
+fn evicts_the_oldest_program_beyond_the_limit() {
     let mut fixture = Fixture::new(false);
     for i in 0..=MAX_TRACED_PROGRAMS {
         let name = format!("dawn-{i}");
