--- a/agatetrestle/src/codec.rs
+++ b/agatetrestle/src/codec.rs
@@ -79,7 +79,7 @@
     },
 }
 
-/// Limits what a small message can expand to; a table of ten thousand routes takes a third of it.
+/// Limits what a small message can expand to.
 const MAX_DECOMPRESSED_BYTES: u64 = 16 << 20;
 
 impl Compressed {
--- a/agatetrestle/src/logging/queue.rs
+++ b/agatetrestle/src/logging/queue.rs
@@ -1,7 +1,7 @@
 //! A log writer that never blocks the process.
 //!
 //! Lines are added to a bounded queue, and a thread writes them out in batches. If the reader of the output is too slow, the
-//! newest lines are dropped, and the next batch says how many.
+//! newest lines are dropped, and the next batch reports their number.
 
 use std::io;
 use std::io::Write;
@@ -19,19 +19,19 @@
 
 use crate::logging::text_line;
 
-/// Holds some seconds of an entry's lines under full load.
+/// Holds the lines of a few seconds under full load.
 const MAX_QUEUE_BYTES: usize = 512 << 10;
 /// Time for which lines are collected before they are written.
 const BATCH_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Default)]
-struct Queue {
+struct LineQueue {
     bytes: Vec<u8>,
     dropped: u64,
 }
 
 struct Shared {
-    queue: Mutex<Queue>,
+    queue: Mutex<LineQueue>,
     not_empty: Condvar,
     out: Mutex<Box<dyn Write + Send>>,
 }
@@ -70,7 +70,7 @@
 
 impl Shared {
     /// Ignores poisoning, since a panic leaves only complete lines in the queue.
-    fn lock(&self) -> MutexGuard<'_, Queue> {
+    fn lock(&self) -> MutexGuard<'_, LineQueue> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -103,7 +103,7 @@
 
     fn write_out(&self) -> io::Result<()> {
         let mut out = self.out.lock().unwrap_or_else(PoisonError::into_inner);
-        let Queue { mut bytes, dropped } = std::mem::take(&mut *self.lock());
+        let LineQueue { mut bytes, dropped } = std::mem::take(&mut *self.lock());
         if dropped > 0 {
             bytes.extend_from_slice(format!("WARN  logging: {dropped} lines were lost.\n").as_bytes());
         }
--- a/agatetrestle/src/metrics/instruments.rs
+++ b/agatetrestle/src/metrics/instruments.rs
@@ -148,8 +148,8 @@
         }
     }
 
-    pub(super) fn record_report(&self, outcome: &'static str, took: Duration) {
-        self.control_reports.record(took.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
+    pub(super) fn record_report(&self, outcome: &'static str, duration: Duration) {
+        self.control_reports.record(duration.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
     }
 
     pub(super) fn record_malformed(&self, entries: u64) {
--- a/agatetrestle/src/metrics/mod.rs
+++ b/agatetrestle/src/metrics/mod.rs
@@ -122,8 +122,8 @@
         self.instruments.record_cache(held, wasted);
     }
 
-    fn record_report(&self, outcome: &'static str, took: Duration) {
-        self.instruments.record_report(outcome, took);
+    fn record_report(&self, outcome: &'static str, duration: Duration) {
+        self.instruments.record_report(outcome, duration);
     }
 
     fn record_malformed(&self, entries: u64) {
--- a/agatetrestle/src/metrics/scrape.rs
+++ b/agatetrestle/src/metrics/scrape.rs
@@ -1,6 +1,6 @@
 //! The scrape endpoint. Each connection serves one request.
 //!
-//! async-h1 does not limit the length of a line, so the size of a request and the time of a connection are limited here.
+//! `async-h1` does not limit the length of a line, so the size of a request and the time of a connection are limited here.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
         let metrics = Rc::clone(&metrics);
         let scrape = async move {
             if let Err(e) = serve_connection(&metrics, stream).or(timeout()).await {
-                log::debug!("Scrape failed: {e}.");
+                log::debug!("Scrape connection failed: {e}.");
             }
             drop(permit);
         };
@@ -89,7 +89,7 @@
             response
         }
         Err(e) => {
-            log::warn!("Scrape failed: {e}.");
+            log::warn!("Metrics could not be rendered: {e}.");
             closing_response(StatusCode::InternalServerError)
         }
     }
--- a/agatetrestle/src/operator/error.rs
+++ b/agatetrestle/src/operator/error.rs
@@ -18,7 +18,7 @@
     #[snafu(display("invalid program id {text}: expected partner/name"))]
     InvalidProgramId { text: Arc<str> },
     #[snafu(display("the call can't be settled: {}", describe(refusal)))]
-    NotSettled { refusal: Refusal },
+    NotResolved { refusal: Refusal },
     #[snafu(display("unexpected reply from a replica, which may run another build"))]
     UnexpectedReply,
     #[snafu(display("{source}"), context(false))]
@@ -27,7 +27,7 @@
     Replicas { source: ChangeError },
 }
 
-/// The ledger refuses settlements only for the first two reasons.
+/// The ledger refuses a `Resolve` command only for the first two reasons.
 fn describe(refusal: &Refusal) -> Arc<str> {
     match refusal {
         Refusal::NoProgram => "there is no such program".into(),
@@ -40,7 +40,7 @@
     pub(super) fn write(&self, mut builder: failure::Builder<'_>) {
         let text = self.to_string();
         match self {
-            Self::NoSuchName { .. } | Self::InvalidProgramId { .. } | Self::NotSettled { .. } => {
+            Self::NoSuchName { .. } | Self::InvalidProgramId { .. } | Self::NotResolved { .. } => {
                 builder.set_invalid(text.as_str());
             }
             Self::Group { source: GroupError::NotProposed { .. } } => builder.set_unavailable(text.as_str()),
--- a/agatetrestle/src/operator/handlers.rs
+++ b/agatetrestle/src/operator/handlers.rs
@@ -76,8 +76,8 @@
         newest.or_else(|| declared().then_some(0))
     }
 
-    /// Records whether a call of unknown outcome ran.
-    pub(super) async fn settle(
+    /// Records whether a call with an unknown outcome ran.
+    pub(super) async fn resolve(
         &self,
         program: Arc<str>,
         call: u32,
@@ -88,7 +88,7 @@
         let command = ProgramCommand::Resolve { program, call: CallNumber(call), ran, note };
         match self.ledger.commit(command).await? {
             ProgramReply::Done(_) => Ok(()),
-            ProgramReply::Refused(refusal) => Err(CallError::NotSettled { refusal }),
+            ProgramReply::Refused(refusal) => Err(CallError::NotResolved { refusal }),
             _ => Err(CallError::UnexpectedReply),
         }
     }
--- a/agatetrestle/src/operator/mod.rs
+++ b/agatetrestle/src/operator/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::ids::NodeId;
 use crate::operator::calls::CallTracker;
-use crate::operator::rpc::Connection;
+use crate::operator::rpc::OperatorConnection;
 use crate::ports::Backends;
 use crate::ports::Control;
 use crate::ports::Groups;
@@ -83,7 +83,7 @@
     options.nesting_limit(MAX_NESTING);
     let network = VatNetwork::new(stream.clone(), stream, Side::Server, options);
     let calls = Rc::new(CallTracker::default());
-    let client: operator::Client = capnp_rpc::new_client(Connection::new(server, Rc::clone(&calls)));
+    let client: operator::Client = capnp_rpc::new_client(OperatorConnection::new(server, Rc::clone(&calls)));
     let system = RpcSystem::new(Box::new(network), Some(client.client));
     let idle = async {
         wait_until_idle(&calls).await;
--- a/agatetrestle/src/operator/rpc.rs
+++ b/agatetrestle/src/operator/rpc.rs
@@ -42,12 +42,12 @@
 use crate::ports::GroupError;
 
 /// One operator's connection.
-pub(super) struct Connection {
+pub(super) struct OperatorConnection {
     server: Rc<OperatorServer>,
     calls: Rc<CallTracker>,
 }
 
-impl Connection {
+impl OperatorConnection {
     pub(super) fn new(server: Rc<OperatorServer>, calls: Rc<CallTracker>) -> Self {
         Self { server, calls }
     }
@@ -80,7 +80,7 @@
     }
 }
 
-impl Server for Connection {
+impl Server for OperatorConnection {
     async fn apply(self: Rc<Self>, params: ApplyParams, mut results: ApplyResults) -> Result<(), Error> {
         let _call = self.calls.start()?;
         let change = params.get()?.get_change()?;
@@ -218,8 +218,8 @@
         let program = read_text(params.get_program()?)?;
         let note = read_text(params.get_note()?)?;
         let (call, ran) = (params.get_call(), params.get_ran());
-        log::info!("Resolving call {call} of {program} of unknown outcome; ran: {ran}.");
-        if let Err(e) = self.server.settle(program, call, ran, note).await {
+        log::info!("Resolving call {call} of program {program} with unknown outcome; ran: {ran}.");
+        if let Err(e) = self.server.resolve(program, call, ran, note).await {
             e.write(results.get().init_failure());
         }
         Ok(())
--- a/agatetrestle/src/ports.rs
+++ b/agatetrestle/src/ports.rs
@@ -237,12 +237,12 @@
     /// Adds a measurement to the series with these labels.
     fn record(&self, labels: &Labels, measurement: &Measurement);
 
-    /// Sets the tokens of prefix cache that live programs hold by this node's count, and those wasted since the start; see
-    /// [`crate::retention::cache_usage`].
+    /// Sets the prefix cache tokens that live programs hold and those wasted since the start, both as estimated by this
+    /// node; see [`crate::retention::cache_usage`].
     fn record_cache(&self, held: u64, wasted: u64);
 
     /// Records the duration of a report to control, by its outcome.
-    fn record_report(&self, _outcome: &'static str, _took: Duration) {}
+    fn record_report(&self, _outcome: &'static str, _duration: Duration) {}
 
     /// Counts malformed entries of the platform's list of backend servers.
     fn record_malformed(&self, _entries: u64) {}
