--- a/agatetrestle/src/cluster/service.rs
+++ b/agatetrestle/src/cluster/service.rs
@@ -37,8 +37,8 @@
     pub group: Rc<Group<ControlState>>,
     /// Registry of the live members.
     pub registry: Rc<ClusterRegistry>,
-    /// Stores that each state group must keep when one is drained.
-    pub min_stores: usize,
+    /// Voters that each state group must keep when a store is drained.
+    pub min_voters: usize,
 }
 
 impl ControlService {
@@ -47,7 +47,7 @@
             Ok(ControlRequest::Command(command)) => self.commit(command).await,
             Ok(ControlRequest::Routes) => read(&self.group, |state| state.routes().cloned()).await,
             Ok(ControlRequest::Emptying(vm)) => {
-                read(&self.group, |_| self.registry.drain_status(&vm, self.min_stores)).await
+                read(&self.group, |_| self.registry.drain_status(&vm, self.min_voters)).await
             }
             Ok(ControlRequest::Overview) => read(&self.group, |_| self.registry.overview()).await,
             Err(error) => Submission::Refused(error.to_string().into()),
@@ -73,7 +73,7 @@
 }
 
 impl ReportService for ClusterRegistry {
-    fn take(&self, report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>> {
+    fn answer(&self, report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>> {
         Box::pin(async move { Ok(encode(&self.report(decode(&report)?).await)) })
     }
 }
--- a/agatetrestle/src/cluster/subscriber.rs
+++ b/agatetrestle/src/cluster/subscriber.rs
@@ -97,7 +97,7 @@
     /// Clock for timeouts and ages.
     pub clock: Clock,
     /// Connections by address, since the node ID behind an address may be unknown.
-    pub link_to: RefCell<BTreeMap<SocketAddrV4, Rc<PeerLink>>>,
+    pub links_by_address: RefCell<BTreeMap<SocketAddrV4, Rc<PeerLink>>>,
     /// Outcomes of recent reports.
     pub log: ReportLog,
     /// Records outcomes and durations of reports as metrics.
@@ -217,7 +217,7 @@
     }
 
     fn link(&self, contact: SocketAddrV4) -> Rc<PeerLink> {
-        let mut links = self.link_to.borrow_mut();
+        let mut links = self.links_by_address.borrow_mut();
         links.entry(contact).or_insert_with(|| self.links.link_to(SocketAddr::V4(contact))).clone()
     }
 }
--- a/agatetrestle/src/cluster/subscriber/tests.rs
+++ b/agatetrestle/src/cluster/subscriber/tests.rs
@@ -22,7 +22,7 @@
 struct FakeReplica(Cell<bool>);
 
 impl ReportService for FakeReplica {
-    fn take(&self, _report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>> {
+    fn answer(&self, _report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>> {
         let update = Update { confirmed: self.0.get(), ..Update::default() };
         Box::pin(async move { Ok(encode(&update)) })
     }
@@ -52,7 +52,7 @@
         registry: None,
         links: Links::new(NodeId(1), REPORT_TIMEOUT, executor),
         clock: Clock::start(),
-        link_to: RefCell::default(),
+        links_by_address: RefCell::default(),
         log: ReportLog::default(),
         recorder: Rc::new(Metrics::new().unwrap()),
         notify: smol::channel::bounded(1),
--- a/agatetrestle/src/deployment/control.rs
+++ b/agatetrestle/src/deployment/control.rs
@@ -61,7 +61,7 @@
     let service: Rc<dyn GroupService> = Rc::new(ControlService {
         group: group.clone(),
         registry: registry.clone(),
-        min_stores: context.replication_factor(),
+        min_voters: context.replication_factor(),
     });
     let mut server = PeerServer { reports: Some(registry.clone()), ..PeerServer::default() };
     let receiver = group.clone();
--- a/agatetrestle/src/deployment/mod.rs
+++ b/agatetrestle/src/deployment/mod.rs
@@ -245,7 +245,7 @@
             registry,
             links: self.links.clone(),
             clock: self.clock,
-            link_to: RefCell::default(),
+            links_by_address: RefCell::default(),
             log: ReportLog::default(),
             recorder: self.metrics.clone(),
             notify: smol::channel::bounded(1),
--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -106,7 +106,7 @@
         let member = Member { ready, group: self.id.get(), ..member.clone() };
         let leading = group.as_ref().filter(|group| group.leads());
         let voters = leading.map(|group| group.replicas().voters);
-        let holdings = group.as_ref().map(|group| group.machine(TurnState::holdings));
+        let holdings = group.as_ref().map(|group| group.machine(TurnState::usage));
         NodeStatus { member, voters, holdings }
     }
 
--- a/agatetrestle/src/node/peer_server.rs
+++ b/agatetrestle/src/node/peer_server.rs
@@ -120,7 +120,7 @@
         let Some(reports) = &self.0.reports else {
             return Err(capnp::Error::unimplemented("this node is no control replica".into()));
         };
-        let update = reports.take(params.get()?.get_report()?.to_vec()).await;
+        let update = reports.answer(params.get()?.get_report()?.to_vec()).await;
         let update = update.map_err(|failure| capnp::Error::failed(failure.to_string()))?;
         results.get().set_bulletin(&update);
         Ok(())
--- a/agatetrestle/src/node/service.rs
+++ b/agatetrestle/src/node/service.rs
@@ -45,7 +45,7 @@
 /// Handles reports of other processes about themselves.
 pub trait ReportService {
     /// Answers an encoded report with an encoded update. May wait for news as long as the report allows.
-    fn take(&self, report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>>;
+    fn answer(&self, report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>>;
 }
 
 pub(crate) fn to_submission(outcome: ProposalOutcome) -> Submission {
--- a/agatetrestle/src/turns/state.rs
+++ b/agatetrestle/src/turns/state.rs
@@ -113,7 +113,7 @@
 
     /// Counts and sizes reported to operators.
     #[must_use]
-    pub fn holdings(&self) -> StoreUsage {
+    pub fn usage(&self) -> StoreUsage {
         StoreUsage {
             turns: self.turns.len(),
             bytes: self.kept_bytes,
--- a/agatetrestle/src/turns/tests.rs
+++ b/agatetrestle/src/turns/tests.rs
@@ -125,7 +125,7 @@
     assert_eq!(state.execute(last, begin("c", 100, 10, Some("b"))), begun(&["one", "two"]));
     let past = last + 2 * RETENTION;
     assert_eq!(state.execute(past, begin("d", 100, 10, Some("b"))), TurnReply::NoSuchTurn);
-    assert_eq!((state.state.holdings().turns, state.state.holdings().bytes), (0, 0));
+    assert_eq!((state.state.usage().turns, state.state.usage().bytes), (0, 0));
 }
 
 #[test]
@@ -145,7 +145,7 @@
     let with_chain = TurnCommand::Begin(Begin { carried, ..begin.clone() });
     assert_eq!(state.execute(8, with_chain.clone()), begun(&["one", "two"]));
     assert_eq!(state.execute(9, with_chain), begun(&["one", "two"]), "repeated command");
-    assert_eq!(state.state.holdings().turns, 2, "each turn is stored once");
+    assert_eq!(state.state.usage().turns, 2, "each turn is stored once");
     assert_eq!(state.execute(10, TurnCommand::Begin(begin.clone())), begun(&["one", "two"]));
     // The remaining retention of 9 ms and the margin count from the last transfer at 9 ms.
     let past = 9 + 9 + 10_000;
@@ -242,7 +242,7 @@
         state.execute(1, finish(turn, 1, Some(("text", None))));
     }
     assert_eq!(state.execute(2, begin("d", 100, 1, None)), TurnReply::Full);
-    assert_eq!(state.state.holdings().turns, 3);
+    assert_eq!(state.state.usage().turns, 3);
 }
 
 #[test]
--- a/agatetrestle/tests/store_memory.rs
+++ b/agatetrestle/tests/store_memory.rs
@@ -133,7 +133,7 @@
         store.driver.cancel().await;
         drop(store.group);
         let store = open(&folder.0, &executor).await;
-        assert!(store.group.machine(|turns| turns.holdings().bytes) > ROOM, "the turns are there again");
+        assert!(store.group.machine(|turns| turns.usage().bytes) > ROOM, "the turns are there again");
         let most = rooms(MEMORY.max_allocated() - start);
         assert!(most < 2.5, "a start holds the snapshot and the state made from it, not {most}");
         store.driver.cancel().await;
