--- a/agatetrestle/src/node/assembly.rs
+++ b/agatetrestle/src/node/assembly.rs
@@ -99,7 +99,7 @@
             Rc::new(MemberRegistry::new(group, links.clone(), clock, incarnation, timing.heartbeat, lease))
         });
         let heartbeats = Rc::new(HeartbeatSender {
-            identity: identity(settings, addresses, incarnation),
+            template: heartbeat_template(settings, addresses, incarnation),
             interval: timing.heartbeat,
             replicas: replicas::holders(settings, CONTROL_GROUP),
             links: links.clone(),
@@ -186,7 +186,7 @@
     Rc::new(Dispatcher::new(scheduler.clone(), backends.clone(), backends, timer, clock))
 }
 
-fn identity(settings: &Settings, addresses: &Listen, incarnation: u64) -> Heartbeat {
+fn heartbeat_template(settings: &Settings, addresses: &Listen, incarnation: u64) -> Heartbeat {
     Heartbeat {
         node: NodeId(settings.node.id),
         vm: settings.node.vm.clone(),
--- a/agatetrestle/src/node/control_port.rs
+++ b/agatetrestle/src/node/control_port.rs
@@ -54,7 +54,7 @@
 
     async fn submit(&self, command: ControlCommand) -> Result<ControlReply, GroupError> {
         let reply = self.router.submit(encode(&command)).await?;
-        decode(&reply).map_err(|failure| GroupError::Unknown { reason: failure.to_string().into() })
+        decode(&reply).map_err(|error| GroupError::Unknown { reason: error.to_string().into() })
     }
 }
 
--- a/agatetrestle/src/node/group.rs
+++ b/agatetrestle/src/node/group.rs
@@ -112,7 +112,7 @@
 
 /// Arguments of [`Group::new`].
 pub struct GroupParts<M: StateMachine> {
-    /// Id of the group.
+    /// ID of the group.
     pub id: GroupId,
     /// The process's clock.
     pub clock: Clock,
@@ -193,8 +193,8 @@
             }
             storage = match self.write(storage, batch).await {
                 Ok(storage) => storage,
-                Err(failure) => {
-                    error!("Group {} failed to write its log: {failure}.", self.id.0);
+                Err(error) => {
+                    error!("Group {} failed to write its log: {error}.", self.id.0);
                     self.process(Input::WriteFailed);
                     self.recover(&jobs).await
                 }
@@ -227,9 +227,9 @@
             match (self.reopen)().await {
                 Ok((storage, restored)) => match self.rebuild(restored, jobs) {
                     Ok(()) => return storage,
-                    Err(failure) => error!("Group {} failed to rebuild from storage: {failure}.", self.id.0),
+                    Err(error) => error!("Group {} failed to rebuild from storage: {error}.", self.id.0),
                 },
-                Err(failure) => warn!("Group {} failed to reopen its log: {failure}.", self.id.0),
+                Err(error) => warn!("Group {} failed to reopen its log: {error}.", self.id.0),
             }
         }
     }
@@ -256,9 +256,9 @@
         if let Some(sequence) = result.written {
             self.process(Input::Written(sequence));
         }
-        if let Some(failure) = result.snapshot_failure {
+        if let Some(error) = result.snapshot_failure {
             // The log is complete without the snapshot, so the replica continues.
-            error!("Group {} failed to save a snapshot: {failure}.", self.id.0);
+            error!("Group {} failed to save a snapshot: {error}.", self.id.0);
             self.encode_queue.clear_disk_pending();
         }
         if let Some(snapshot) = result.snapshot {
--- a/agatetrestle/src/node/group/encoding.rs
+++ b/agatetrestle/src/node/group/encoding.rs
@@ -80,8 +80,8 @@
         self.bytes_since_snapshot.set(0);
         let history_files = match self.flush_history() {
             Ok(files) => files,
-            Err(failure) => {
-                error!("Group {} failed to flush its history: {failure}.", self.id.0);
+            Err(error) => {
+                error!("Group {} failed to flush its history: {error}.", self.id.0);
                 return;
             }
         };
@@ -96,8 +96,8 @@
         if self.deferred.borrow().is_some() || self.encode_queue.peers_pending.get() {
             return;
         }
-        if let Err(failure) = self.flush_history() {
-            error!("Group {} failed to flush its history for a peer snapshot: {failure}.", self.id.0);
+        if let Err(error) = self.flush_history() {
+            error!("Group {} failed to flush its history for a peer snapshot: {error}.", self.id.0);
             return;
         }
         self.encode_queue.peers_pending.set(true);
--- a/agatetrestle/src/node/group/install.rs
+++ b/agatetrestle/src/node/group/install.rs
@@ -103,8 +103,8 @@
         let chunk = machine.history().map(|history| history.read_raw(offset, MAX_HISTORY_CHUNK_BYTES));
         match chunk {
             Some(Ok(bytes)) => bytes,
-            Some(Err(failure)) => {
-                error!("Group {} failed to read its history: {failure}.", self.id.0);
+            Some(Err(error)) => {
+                error!("Group {} failed to read its history: {error}.", self.id.0);
                 Vec::new()
             }
             None => Vec::new(),
--- a/agatetrestle/src/node/group/writes.rs
+++ b/agatetrestle/src/node/group/writes.rs
@@ -80,7 +80,7 @@
                 flush_writes(storage, &mut writes, &mut result)?;
                 match save_snapshot(storage, &snapshot, &history_files) {
                     Ok(()) => result.snapshot = Some(snapshot),
-                    Err(failure) => result.snapshot_failure = Some(failure),
+                    Err(error) => result.snapshot_failure = Some(error),
                 }
             }
         }
--- a/agatetrestle/src/node/heartbeats.rs
+++ b/agatetrestle/src/node/heartbeats.rs
@@ -41,7 +41,7 @@
 /// Sends the heartbeats of this node and tracks the other members.
 pub struct HeartbeatSender {
     /// Template of the heartbeats; the fields that change are set when one is sent.
-    pub identity: Heartbeat,
+    pub template: Heartbeat,
     /// Time between two heartbeats.
     pub interval: Duration,
     /// Configured nodes with a control replica.
@@ -85,7 +85,7 @@
             stopping: self.stopping.get(),
             leaving: roster.pending_notices(),
             position: roster.position(replica),
-            ..self.identity.clone()
+            ..self.template.clone()
         }
     }
 
@@ -94,20 +94,20 @@
             return;
         };
         let sent = self.clock.now();
-        let digest = registry.heartbeat(self.heartbeat(self.identity.node)).await;
+        let digest = registry.heartbeat(self.heartbeat(self.template.node)).await;
         if digest.revision > self.control.configuration().revision {
             self.adopt(Configuration::clone(&registry.configuration()));
         }
-        self.apply_digest(self.identity.node, sent, &digest);
+        self.apply_digest(self.template.node, sent, &digest);
     }
 
     async fn send_remote(&self, replica: NodeId, link: Rc<PeerLink>) {
-        let beat = self.heartbeat(replica);
+        let heartbeat = self.heartbeat(replica);
         let sent = self.clock.now();
-        let digest = match send(&link, &beat).await {
+        let digest = match send(&link, &heartbeat).await {
             Ok(digest) => digest,
-            Err(failure) => {
-                debug!("A heartbeat to a control replica failed: {failure}.");
+            Err(error) => {
+                debug!("A heartbeat to a control replica failed: {error}.");
                 return;
             }
         };
@@ -119,7 +119,7 @@
                     self.on_adopted(self.control.adopt_changes(changes));
                 }
                 Ok(_) => {}
-                Err(failure) => debug!("Failed to fetch the configuration: {failure}."),
+                Err(error) => debug!("Failed to fetch the configuration: {error}."),
             }
         }
         self.apply_digest(replica, sent, &digest);
@@ -144,9 +144,9 @@
             self.control.renew(sent, digest.lease, digest.revision);
             self.add_addresses(digest);
         }
-        let new_signs = self.roster.borrow_mut().apply_digest(from, digest);
-        for sign in new_signs {
-            self.on_leaving(&sign);
+        let new_notices = self.roster.borrow_mut().apply_digest(from, digest);
+        for notice in new_notices {
+            self.on_leaving(&notice);
         }
     }
 
@@ -158,9 +158,9 @@
         }
     }
 
-    fn on_leaving(&self, sign: &LeaveNotice) {
-        info!("{} is leaving in incarnation {}.", sign.name, sign.incarnation);
-        self.dispatcher.step(Event::Leaving { name: sign.name.clone(), leaving: true });
+    fn on_leaving(&self, notice: &LeaveNotice) {
+        info!("{} is leaving in incarnation {}.", notice.name, notice.incarnation);
+        self.dispatcher.step(Event::Leaving { name: notice.name.clone(), leaving: true });
     }
 
     /// Applies changes of the platform's VM list. A VM with a node leaves in the current incarnation of that node, a VM of
@@ -187,23 +187,23 @@
     }
 
     /// Marks a VM or backend server as leaving, as observed by this node. The next heartbeat reports it.
-    pub fn mark(&self, sign: &LeaveNotice) {
-        let is_new = self.roster.borrow_mut().add_notice(sign);
+    pub fn mark(&self, notice: &LeaveNotice) {
+        let is_new = self.roster.borrow_mut().add_notice(notice);
         if is_new {
-            self.on_leaving(sign);
+            self.on_leaving(notice);
         }
     }
 }
 
-async fn send(link: &PeerLink, beat: &Heartbeat) -> Result<Digest, LinkError> {
+async fn send(link: &PeerLink, heartbeat: &Heartbeat) -> Result<Digest, LinkError> {
     link.call(|client: &peer::Client| {
         let mut request = client.heartbeat_request();
-        write_heartbeat(request.get().init_beat(), beat);
+        write_heartbeat(request.get().init_beat(), heartbeat);
         let sent = request.send();
         async move {
             let response = sent.promise.await?;
             let digest = response.get()?.get_digest()?;
-            read_digest(digest).map_err(|failure| capnp::Error::failed(failure.to_string()))
+            read_digest(digest).map_err(|error| capnp::Error::failed(error.to_string()))
         }
     })
     .await
--- a/agatetrestle/src/node/ledger_port.rs
+++ b/agatetrestle/src/node/ledger_port.rs
@@ -30,7 +30,7 @@
 
     async fn submit<T: DeserializeOwned>(&self, request: ProgramRequest) -> Result<T, GroupError> {
         let reply = self.router.submit(encode(&request)).await?;
-        decode(&reply).map_err(|failure| GroupError::Unknown { reason: failure.to_string().into() })
+        decode(&reply).map_err(|error| GroupError::Unknown { reason: error.to_string().into() })
     }
 }
 
--- a/agatetrestle/src/node/links.rs
+++ b/agatetrestle/src/node/links.rs
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Creates a link to an address, for a peer whose id is not known. It is used for calls, not for messages of a group.
+    /// Creates a link to an address, for a peer whose ID is not known. It is used for calls, not for messages of a group.
     #[must_use]
     pub fn link_to(&self, address: SocketAddr) -> Rc<PeerLink> {
         PeerLink::new(address, self.deadline, self.executor.clone(), self.handler())
--- a/agatetrestle/src/node/mod.rs
+++ b/agatetrestle/src/node/mod.rs
@@ -211,7 +211,10 @@
         let started = self.entry.clock.now();
         while self.entry.in_flight() > 0 {
             if self.entry.clock.now().since(started) >= grace_period {
-                warn!("{} requests were cut off after the grace period.", self.entry.in_flight());
+                warn!(
+                    "The grace period ended with {} requests in flight; dropping them.",
+                    self.entry.in_flight()
+                );
                 return false;
             }
             Timer::after(STOP_POLL_INTERVAL).await;
--- a/agatetrestle/src/node/order_loop.rs
+++ b/agatetrestle/src/node/order_loop.rs
@@ -129,8 +129,8 @@
                 debug!("Got no fencing token for term {term}: {reply:?}.");
                 false
             }
-            Err(failure) => {
-                debug!("Failed to get a fencing token for term {term}: {failure}.");
+            Err(error) => {
+                debug!("Failed to get a fencing token for term {term}: {error}.");
                 false
             }
         }
@@ -167,8 +167,8 @@
             "Ordering engine {} to load {} with fencing token {}.",
             order.engine, order.model, order.fencing_token
         );
-        if let Err(failure) = self.engines.load(address, order.model.clone(), order.fencing_token).await {
-            warn!("Engine {} did not accept the order: {failure}.", order.engine);
+        if let Err(error) = self.engines.load(address, order.model.clone(), order.fencing_token).await {
+            warn!("Engine {} did not accept the order: {error}.", order.engine);
             self.reconciler.borrow_mut().mark_failed(order);
         }
     }
@@ -185,7 +185,7 @@
     async fn poll_engine(&self, name: &Arc<str>, address: SocketAddr) {
         match self.engines.served_model(address).await {
             Ok(model) => self.reconciler.borrow_mut().observe(name, model),
-            Err(failure) => debug!("Failed to get the served model of {name}: {failure}."),
+            Err(error) => debug!("Failed to get the served model of {name}: {error}."),
         }
     }
 }
--- a/agatetrestle/src/node/peer_link.rs
+++ b/agatetrestle/src/node/peer_link.rs
@@ -309,8 +309,8 @@
             return Err(LinkError::Connect { source: kind.into() });
         }
         let connected = self.connect_any().await;
-        if let Err(failure) = &connected {
-            self.connect_failures.set((failures + 1, failure.kind()));
+        if let Err(error) = &connected {
+            self.connect_failures.set((failures + 1, error.kind()));
         }
         Ok(self.start_rpc(connected?))
     }
@@ -361,7 +361,7 @@
                 let response = sent.promise.await?;
                 let replies = response.get()?.get_replies()?.iter().map(read_message);
                 let replies: Result<Vec<Message>, WireError> = replies.collect();
-                replies.map_err(|failure| capnp::Error::failed(failure.to_string()))
+                replies.map_err(|error| capnp::Error::failed(error.to_string()))
             }
         });
         for reply in replies.await? {
--- a/agatetrestle/src/node/peer_link/tests.rs
+++ b/agatetrestle/src/node/peer_link/tests.rs
@@ -130,7 +130,7 @@
         let link = Links::new(NodeId(1), NO_TIMEOUT, &executor).link_to(address);
         let calls = (0..CALLERS).map(|_| submit_remotely(&link, NO_TIMEOUT, GROUP, b"next"));
         for outcome in futures::future::join_all(calls).await {
-            assert!(outcome.is_err_and(|failure| failure.is_unsent()));
+            assert!(outcome.is_err_and(|error| error.is_unsent()));
         }
         assert_eq!(link.connect_failures.get().0, 1);
     }));
--- a/agatetrestle/src/node/peer_server.rs
+++ b/agatetrestle/src/node/peer_server.rs
@@ -55,8 +55,7 @@
     ) -> Result<(), capnp::Error> {
         let mut replies = Vec::new();
         for message in params.get()?.get_messages()? {
-            let message =
-                read_message(message).map_err(|failure| capnp::Error::failed(failure.to_string()))?;
+            let message = read_message(message).map_err(|error| capnp::Error::failed(error.to_string()))?;
             match self.0.handlers.get(&message.group) {
                 Some(receive) => replies.extend(receive(message)),
                 None => debug!("Dropped a message for group {}, which has no replica here.", message.group.0),
@@ -90,10 +89,10 @@
         params: peer::HeartbeatParams,
         mut results: peer::HeartbeatResults,
     ) -> Result<(), capnp::Error> {
-        let beat = read_heartbeat(params.get()?.get_beat()?)
-            .map_err(|failure| capnp::Error::failed(failure.to_string()))?;
+        let heartbeat = read_heartbeat(params.get()?.get_beat()?)
+            .map_err(|error| capnp::Error::failed(error.to_string()))?;
         let digest = match &self.0.registry {
-            Some(registry) => registry.heartbeat(beat).await,
+            Some(registry) => registry.heartbeat(heartbeat).await,
             None => return Err(capnp::Error::unimplemented("this node is no control replica".into())),
         };
         write_digest(results.get().init_digest(), &digest);
@@ -121,7 +120,7 @@
             return Err(capnp::Error::unimplemented("this node is no control replica".into()));
         };
         let update = reports.answer(params.get()?.get_report()?.to_vec()).await;
-        let update = update.map_err(|failure| capnp::Error::failed(failure.to_string()))?;
+        let update = update.map_err(|error| capnp::Error::failed(error.to_string()))?;
         results.get().set_bulletin(&update);
         Ok(())
     }
@@ -174,8 +173,8 @@
 }
 
 async fn serve_connection(handler: PeerHandler, stream: TcpStream) {
-    if let Err(failure) = stream.set_nodelay(true) {
-        debug!("Failed to set up a connection from a peer: {failure}.");
+    if let Err(error) = stream.set_nodelay(true) {
+        debug!("Failed to set up a connection from a peer: {error}.");
         return;
     }
     let (reader, writer) = stream.split();
@@ -184,7 +183,7 @@
     let network = VatNetwork::new(reader, writer, Side::Server, options);
     let client: peer::Client = capnp_rpc::new_client(handler);
     let system = RpcSystem::new(Box::new(network), Some(client.client));
-    if let Err(failure) = system.await {
-        debug!("A connection from a peer closed: {failure}.");
+    if let Err(error) = system.await {
+        debug!("A connection from a peer closed: {error}.");
     }
 }
--- a/agatetrestle/src/node/registry.rs
+++ b/agatetrestle/src/node/registry.rs
@@ -41,9 +41,9 @@
     }
 
     /// Records a heartbeat. Only a leader whose leadership is confirmed after the heartbeat arrived grants a lease.
-    pub async fn heartbeat(&self, beat: Heartbeat) -> Digest {
-        let (node, address, position) = (beat.node, beat.peer_address.parse(), beat.position);
-        let newest = self.table.borrow_mut().record(self.clock.now(), beat);
+    pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Digest {
+        let (node, address, position) = (heartbeat.node, heartbeat.peer_address.parse(), heartbeat.position);
+        let newest = self.table.borrow_mut().record(self.clock.now(), heartbeat);
         if let (true, Ok(address)) = (newest, address) {
             // Without a leader no digest carries the new address of a replaced VM.
             self.links.add_address(node, address);
--- a/agatetrestle/src/node/replicas.rs
+++ b/agatetrestle/src/node/replicas.rs
@@ -73,7 +73,7 @@
 
 /// Opens replicas, with the parameters shared by all replicas of a node.
 pub struct ReplicaOpener<'a> {
-    /// Id of this node.
+    /// ID of this node.
     pub node: NodeId,
     /// Data folder, if any, and sizes of its files.
     pub storage: &'a StorageSettings,
@@ -96,7 +96,7 @@
 }
 
 impl StoredReplica {
-    /// Id of the group.
+    /// ID of the group.
     #[must_use]
     pub fn group(&self) -> GroupId {
         self.group
@@ -255,7 +255,7 @@
                     match fetch_history(&link, group, offset).await {
                         Ok(bytes) if !bytes.is_empty() => return Some(bytes),
                         Ok(_) => {}
-                        Err(failure) => debug!("Failed to fetch history: {failure}."),
+                        Err(error) => debug!("Failed to fetch history: {error}."),
                     }
                 }
                 None
@@ -296,7 +296,7 @@
     no_log && restored.hard_state == HardState::default()
 }
 
-/// Returns the snapshot before the first log entry. It fixes the initial voters, whatever the settings say later.
+/// Returns the snapshot before the first log entry. It fixes the initial voters; later settings do not change them.
 fn initial_snapshot<M: StateMachine>(machine: &M, holders: Vec<NodeId>) -> Snapshot {
     let replicas = Replicas { voters: holders.into_iter().collect(), ..Replicas::default() };
     Snapshot { position: Position::default(), replicas, data: machine.snapshot().into() }
--- a/agatetrestle/src/node/router.rs
+++ b/agatetrestle/src/node/router.rs
@@ -1,6 +1,6 @@
 //! Finds the leader of a group and forwards requests to it, from any node.
 //!
-//! Every command is idempotent: the ledger records attempts and the control state change ids. A request without an answer
+//! Every command is idempotent: the ledger records attempts and the control state change IDs. A request without an answer
 //! is therefore retried until its deadline, and only then reported as unknown.
 
 use std::cell::Cell;
@@ -258,8 +258,8 @@
         };
         match submit_remotely(&link, self.timeouts.attempt, self.group, request).await {
             Ok(submission) => submission,
-            Err(failure) if failure.is_unsent() => Submission::Unreachable(failure.to_string().into()),
-            Err(failure) => Submission::Unknown(failure.to_string().into()),
+            Err(error) if error.is_unsent() => Submission::Unreachable(error.to_string().into()),
+            Err(error) => Submission::Unknown(error.to_string().into()),
         }
     }
 }
--- a/agatetrestle/src/node/service.rs
+++ b/agatetrestle/src/node/service.rs
@@ -44,7 +44,7 @@
 
 /// Handles reports of other processes about themselves.
 pub trait ReportService {
-    /// Answers an encoded report with an encoded update. May wait for news as long as the report allows.
+    /// Answers an encoded report with an encoded update. The answer may wait for a change as long as the report allows.
     fn answer(&self, report: Vec<u8>) -> LocalBoxFuture<'_, Result<Vec<u8>, DecodeError>>;
 }
 
@@ -95,7 +95,7 @@
         match decode::<ProgramRequest>(&request) {
             Ok(ProgramRequest::Command(command)) => commit(&self.0, encode(&command)).await,
             Ok(ProgramRequest::Query(query)) => read(&self.0, |ledger| ledger.query(&query)).await,
-            Err(failure) => Submission::Refused(failure.to_string().into()),
+            Err(error) => Submission::Refused(error.to_string().into()),
         }
     }
 }
--- a/agatetrestle/src/node/vm_list.rs
+++ b/agatetrestle/src/node/vm_list.rs
@@ -45,25 +45,25 @@
         match with_deadline(interval, fetch(address)).await.unwrap_or(TimeoutSnafu.fail()) {
             Ok(bytes) => match parse(&bytes).map_err(FetchError::from) {
                 Ok(list) => heartbeats.apply_vm_changes(reader.update(list)),
-                Err(failure) => debug!("Ignored the VM list: {failure}."),
+                Err(error) => debug!("Ignored the VM list: {error}."),
             },
-            Err(failure) => debug!("Ignored the VM list: {failure}."),
+            Err(error) => debug!("Ignored the VM list: {error}."),
         }
         Timer::after(interval).await;
     }
 }
 
 async fn fetch(address: SocketAddr) -> Result<Vec<u8>, FetchError> {
-    let url = Url::parse(&format!("http://{address}/")).map_err(|failure| exchange_error(&failure))?;
+    let url = Url::parse(&format!("http://{address}/")).map_err(|error| exchange_error(&error))?;
     let stream = TcpStream::connect(address).await.context(ConnectSnafu)?;
     let exchange = async_h1::connect(stream, Request::new(Method::Get, url)).await;
-    let mut response = exchange.map_err(|failure| exchange_error(&failure))?;
+    let mut response = exchange.map_err(|error| exchange_error(&error))?;
     let mut bytes = Vec::new();
     response.take_body().take(MAX_LIST_BYTES).read_to_end(&mut bytes).await.context(BodySnafu)?;
     Ok(bytes)
 }
 
 /// Keeps only the text, because the library's error does not implement `std::error::Error`.
-fn exchange_error(failure: &dyn std::fmt::Display) -> FetchError {
-    FetchError::Exchange { detail: failure.to_string().into() }
+fn exchange_error(error: &dyn std::fmt::Display) -> FetchError {
+    FetchError::Exchange { detail: error.to_string().into() }
 }
--- a/agatetrestle/src/node/wire_members.rs
+++ b/agatetrestle/src/node/wire_members.rs
@@ -27,35 +27,35 @@
     u32::try_from(length).unwrap_or(u32::MAX)
 }
 
-fn write_signs(mut list: struct_list::Builder<'_, sign::Owned>, signs: &[LeaveNotice]) {
-    for (index, sign) in (0..list.len()).zip(signs) {
+fn write_notices(mut list: struct_list::Builder<'_, sign::Owned>, notices: &[LeaveNotice]) {
+    for (index, notice) in (0..list.len()).zip(notices) {
         let mut builder = list.reborrow().get(index);
-        builder.set_name(&*sign.name);
-        builder.set_incarnation(sign.incarnation);
+        builder.set_name(&*notice.name);
+        builder.set_incarnation(notice.incarnation);
     }
 }
 
-fn read_signs(list: struct_list::Reader<'_, sign::Owned>) -> Result<Vec<LeaveNotice>, WireError> {
-    let read = |sign: sign::Reader<'_>| -> Result<LeaveNotice, WireError> {
-        Ok(LeaveNotice { name: read_text(sign.get_name()?)?, incarnation: sign.get_incarnation() })
+fn read_notices(list: struct_list::Reader<'_, sign::Owned>) -> Result<Vec<LeaveNotice>, WireError> {
+    let read = |notice: sign::Reader<'_>| -> Result<LeaveNotice, WireError> {
+        Ok(LeaveNotice { name: read_text(notice.get_name()?)?, incarnation: notice.get_incarnation() })
     };
     list.iter().map(read).collect()
 }
 
 /// Writes a heartbeat into a builder.
-pub fn write_heartbeat(mut builder: heartbeat::Builder<'_>, beat: &Heartbeat) {
-    builder.set_node(beat.node.0);
-    builder.set_vm(&*beat.vm);
-    builder.set_failure_domain(&*beat.failure_domain);
-    builder.set_region(&*beat.region);
-    builder.set_incarnation(beat.incarnation);
-    builder.set_caller_address(&*beat.caller_address);
-    builder.set_peer_address(&*beat.peer_address);
-    builder.set_revision(beat.revision);
-    builder.set_stopping(beat.stopping);
-    builder.set_digest_epoch(beat.position.epoch);
-    builder.set_digest_sequence(beat.position.sequence);
-    write_signs(builder.init_leaving(list_len(beat.leaving.len())), &beat.leaving);
+pub fn write_heartbeat(mut builder: heartbeat::Builder<'_>, heartbeat: &Heartbeat) {
+    builder.set_node(heartbeat.node.0);
+    builder.set_vm(&*heartbeat.vm);
+    builder.set_failure_domain(&*heartbeat.failure_domain);
+    builder.set_region(&*heartbeat.region);
+    builder.set_incarnation(heartbeat.incarnation);
+    builder.set_caller_address(&*heartbeat.caller_address);
+    builder.set_peer_address(&*heartbeat.peer_address);
+    builder.set_revision(heartbeat.revision);
+    builder.set_stopping(heartbeat.stopping);
+    builder.set_digest_epoch(heartbeat.position.epoch);
+    builder.set_digest_sequence(heartbeat.position.sequence);
+    write_notices(builder.init_leaving(list_len(heartbeat.leaving.len())), &heartbeat.leaving);
 }
 
 /// Reads a heartbeat from its wire format.
@@ -74,21 +74,21 @@
         peer_address: read_text(reader.get_peer_address()?)?,
         revision: reader.get_revision(),
         stopping: reader.get_stopping(),
-        leaving: read_signs(reader.get_leaving()?)?,
+        leaving: read_notices(reader.get_leaving()?)?,
         position: DigestPosition { epoch: reader.get_digest_epoch(), sequence: reader.get_digest_sequence() },
     })
 }
 
 fn write_member(mut builder: member::Builder<'_>, member: &NodeRecord) {
-    let beat = &member.heartbeat;
-    builder.set_node(beat.node.0);
-    builder.set_vm(&*beat.vm);
-    builder.set_failure_domain(&*beat.failure_domain);
-    builder.set_region(&*beat.region);
-    builder.set_incarnation(beat.incarnation);
-    builder.set_caller_address(&*beat.caller_address);
-    builder.set_peer_address(&*beat.peer_address);
-    builder.set_revision(beat.revision);
+    let heartbeat = &member.heartbeat;
+    builder.set_node(heartbeat.node.0);
+    builder.set_vm(&*heartbeat.vm);
+    builder.set_failure_domain(&*heartbeat.failure_domain);
+    builder.set_region(&*heartbeat.region);
+    builder.set_incarnation(heartbeat.incarnation);
+    builder.set_caller_address(&*heartbeat.caller_address);
+    builder.set_peer_address(&*heartbeat.peer_address);
+    builder.set_revision(heartbeat.revision);
     builder.set_state(match member.state {
         MemberState::Live => member::State::Live,
         MemberState::Stopping => member::State::Stopping,
@@ -104,7 +104,7 @@
         member::State::Silent => MemberState::Silent,
         member::State::Leaving => MemberState::Leaving,
     };
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         node: NodeId(reader.get_node()),
         vm: read_text(reader.get_vm()?)?,
         failure_domain: read_text(reader.get_failure_domain()?)?,
@@ -117,7 +117,7 @@
         leaving: Vec::new(),
         position: DigestPosition::default(),
     };
-    Ok(NodeRecord { heartbeat: beat, state })
+    Ok(NodeRecord { heartbeat, state })
 }
 
 /// Writes a digest into a builder.
@@ -127,7 +127,7 @@
     builder.set_epoch(digest.position.epoch);
     builder.set_sequence(digest.position.sequence);
     builder.set_full(digest.full);
-    write_signs(builder.reborrow().init_leaving(list_len(digest.leaving.len())), &digest.leaving);
+    write_notices(builder.reborrow().init_leaving(list_len(digest.leaving.len())), &digest.leaving);
     let mut members = builder.init_members(list_len(digest.members.len()));
     for (index, member) in (0..members.len()).zip(&digest.members) {
         write_member(members.reborrow().get(index), member);
@@ -144,7 +144,7 @@
         revision: reader.get_revision(),
         lease: Duration::from_millis(reader.get_lease_millis().into()),
         members: reader.get_members()?.iter().map(read_member).collect::<Result<_, _>>()?,
-        leaving: read_signs(reader.get_leaving()?)?,
+        leaving: read_notices(reader.get_leaving()?)?,
         full: reader.get_full(),
         position: DigestPosition { epoch: reader.get_epoch(), sequence: reader.get_sequence() },
     })
--- a/agatetrestle/src/transport/accept.rs
+++ b/agatetrestle/src/transport/accept.rs
@@ -62,8 +62,8 @@
                         self.open_connections()
                     );
                 }
-                Err(failure) => {
-                    warn!("Failed to accept a connection from {}: {failure}.", self.peer);
+                Err(error) => {
+                    warn!("Failed to accept a connection from {}: {error}.", self.peer);
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
--- a/agatetrestle/src/transport/client.rs
+++ b/agatetrestle/src/transport/client.rs
@@ -141,19 +141,19 @@
         let connecting = with_deadline(CONNECT_TIMEOUT, TcpStream::connect(SocketAddr::V4(address))).await;
         let stream = connecting
             .ok_or_else(|| connect_error(&"connection timed out"))?
-            .map_err(|f| connect_error(&f))?;
-        stream.set_nodelay(true).map_err(|failure| connect_error(&failure))?;
+            .map_err(|error| connect_error(&error))?;
+        stream.set_nodelay(true).map_err(|error| connect_error(&error))?;
         let handshake = http1::Builder::new()
             .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
             .handshake(FuturesIo::new(stream))
             .await;
-        let (sender, connection) = handshake.map_err(|failure| connect_error(&failure))?;
+        let (sender, connection) = handshake.map_err(|error| connect_error(&error))?;
         let Some(executor) = self.executor.upgrade() else {
             return Err(connect_error(&"the process is stopping"));
         };
         let driver = executor.spawn(async move {
-            if let Err(failure) = connection.await {
-                debug!("Connection to {address} failed: {failure}.");
+            if let Err(error) = connection.await {
+                debug!("Connection to {address} failed: {error}.");
             }
         });
         self.opened.set(self.opened.get() + 1);
@@ -222,9 +222,9 @@
     /// [`SendError::Connect`] if the connection was closed before anything was written, otherwise
     /// [`SendError::NoResponse`].
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, SendError> {
-        self.sender.try_send_request(request).await.map_err(|mut failure| match failure.take_message() {
+        self.sender.try_send_request(request).await.map_err(|mut error| match error.take_message() {
             Some(_) => SendError::Connect { reason: "the idle connection was closed".into() },
-            None => SendError::NoResponse { source: failure.into_error() },
+            None => SendError::NoResponse { source: error.into_error() },
         })
     }
 }
--- a/agatetrestle/src/transport/server.rs
+++ b/agatetrestle/src/transport/server.rs
@@ -77,8 +77,8 @@
                 info!("Listening on {address}.");
                 return listener;
             }
-            Err(failure) => {
-                warn!("Failed to listen on {address}, retrying: {failure}.");
+            Err(error) => {
+                warn!("Failed to listen on {address}, retrying: {error}.");
                 Timer::after(BIND_RETRY_DELAY).await;
             }
         }
@@ -108,8 +108,8 @@
 }
 
 async fn serve_connection(stream: TcpStream, handler: Handler, limits: Rc<ServerLimits>) {
-    if let Err(failure) = stream.set_nodelay(true) {
-        debug!("Failed to set up a connection: {failure}.");
+    if let Err(error) = stream.set_nodelay(true) {
+        debug!("Failed to set up a connection: {error}.");
         return;
     }
     let state = ConnectionState::new();
@@ -131,8 +131,8 @@
     loop {
         match select(connection.as_mut(), Timer::after(CONNECTION_CHECK_INTERVAL)).await {
             Either::Left((outcome, _)) => {
-                if let Err(failure) = outcome {
-                    debug!("A connection ended: {failure}.");
+                if let Err(error) = outcome {
+                    debug!("A connection ended: {error}.");
                 }
                 return;
             }
@@ -145,7 +145,7 @@
         }
     }
     connection.as_mut().graceful_shutdown();
-    if let Err(failure) = connection.await {
-        debug!("A connection ended: {failure}.");
+    if let Err(error) = connection.await {
+        debug!("A connection ended: {error}.");
     }
 }
--- a/agatetrestle/src/transport/tests.rs
+++ b/agatetrestle/src/transport/tests.rs
@@ -118,7 +118,7 @@
                 match connection.send(get(b"")).await {
                     Ok(response) => break (connection, response),
                     Err(SendError::Connect { .. }) => {}
-                    Err(failure) => panic!("{failure}"),
+                    Err(error) => panic!("{error}"),
                 }
             };
             let (head, body) = response.into_parts();
