--- a/agatetrestle/src/agreement/replica/lease.rs
+++ b/agatetrestle/src/agreement/replica/lease.rs
@@ -56,9 +56,9 @@
         majority(self.replicas().voters.iter().map(acked).collect()).unwrap_or(0)
     }
 
-    /// Other voters that have not acknowledged any round sent within `span`; empty unless this replica is the leader.
+    /// Other voters that have not acknowledged any round sent within `timeout`; empty unless this replica is the leader.
     #[must_use]
-    pub fn silent_voters(&self, now: Timestamp, span: Duration) -> Vec<NodeId> {
+    pub fn silent_voters(&self, now: Timestamp, timeout: Duration) -> Vec<NodeId> {
         let Role::Leader(leader) = &self.role else {
             return Vec::new();
         };
@@ -67,7 +67,7 @@
             acked_at.unwrap_or(leader.elected_at).max(leader.elected_at)
         };
         let others = self.replicas().voters.iter().filter(|voter| **voter != self.cfg.node);
-        others.filter(|voter| now.since(last_ack(voter)) > span).copied().collect()
+        others.filter(|voter| now.since(last_ack(voter)) > timeout).copied().collect()
     }
 
     pub(super) fn tick_leader(&mut self, now: Timestamp) {
--- a/agatetrestle/src/agreement/replica/mod.rs
+++ b/agatetrestle/src/agreement/replica/mod.rs
@@ -107,7 +107,7 @@
 
 /// One replica of a group.
 ///
-/// After [`Input::WriteFailed`] it sends nothing any more, since its memory is ahead of its disk. The
+/// After [`Input::WriteFailed`] it sends no more messages, since its memory is ahead of its disk. The
 /// driver must then create a new one from the stored state.
 #[derive(Clone, Debug)]
 pub struct Replica {
--- a/agatetrestle/src/agreement/tests/schedule.rs
+++ b/agatetrestle/src/agreement/tests/schedule.rs
@@ -23,7 +23,7 @@
 /// True time after which every follower has timed out.
 const MAX_ELECTION_TIMEOUT_MICROS: u64 = 220_000;
 
-/// True time for which a restarted replica refuses votes at least.
+/// Minimum true time for which a restarted replica refuses votes.
 const MIN_VOTE_REFUSAL_MICROS: u64 = 96_000;
 
 const LEASE_TICKS: u64 = 17;
--- a/agatetrestle/src/cluster/encoded.rs
+++ b/agatetrestle/src/cluster/encoded.rs
@@ -21,11 +21,11 @@
     pub fn get_or_encode<T: Serialize>(&self, key: K, list: impl FnOnce() -> T) -> Compressed {
         let mut cached = self.0.borrow_mut();
         match &*cached {
-            Some((known, packed)) if *known == key => packed.clone(),
+            Some((known, compressed)) if *known == key => compressed.clone(),
             _ => {
-                let packed = Compressed::new(&list());
-                *cached = Some((key, packed.clone()));
-                packed
+                let compressed = Compressed::new(&list());
+                *cached = Some((key, compressed.clone()));
+                compressed
             }
         }
     }
--- a/agatetrestle/src/cluster/identity.rs
+++ b/agatetrestle/src/cluster/identity.rs
@@ -15,7 +15,7 @@
 /// Set in random IDs, so that none equals an ID derived from an IPv4 address.
 const RANDOM_ID_FLAG: u64 = 1 << 62;
 
-/// The ID of a founding control replica, derived from its address because the others know nothing else of it.
+/// The ID of a founding control replica, derived from its address, which is all that the other replicas know of it.
 #[must_use]
 pub fn founder_id(ip: Ipv4Addr) -> NodeId {
     NodeId(u32::from(ip).into())
@@ -38,12 +38,12 @@
     Ok(NodeId((u64::from_le_bytes(bytes) >> 2) | RANDOM_ID_FLAG))
 }
 
-/// Loads the ID stored in a folder; if there is none yet, stores and returns `fresh`.
+/// Loads the ID stored in a folder; if there is none yet, stores and returns `new_id`.
 ///
 /// # Errors
 ///
 /// Fails if the folder can't be read or written, or if the stored ID is malformed.
-pub fn load_or_create(folder: &Path, fresh: NodeId) -> io::Result<NodeId> {
+pub fn load_or_create(folder: &Path, new_id: NodeId) -> io::Result<NodeId> {
     fs::create_dir_all(folder)?;
     let file = folder.join(NODE_ID_FILE);
     match fs::read_to_string(&file) {
@@ -52,8 +52,8 @@
             id.map(NodeId).map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
         }
         Err(error) if error.kind() == io::ErrorKind::NotFound => {
-            write_atomically(folder, NODE_ID_FILE, format!("{}\n", fresh.0).as_bytes())?;
-            Ok(fresh)
+            write_atomically(folder, NODE_ID_FILE, format!("{}\n", new_id.0).as_bytes())?;
+            Ok(new_id)
         }
         Err(error) => Err(error),
     }
--- a/agatetrestle/src/cluster/registry.rs
+++ b/agatetrestle/src/cluster/registry.rs
@@ -339,14 +339,15 @@
         });
         if current.backends != ListVersion::default() && current.backends != known.backends {
             let change = || self.backends.borrow().change_since(known.backends, current.backends.term);
-            let packed = self.encoded.backends.get_or_encode((known.backends, current.backends), change);
-            update.backends = Some((current.backends, packed));
+            let compressed = self.encoded.backends.get_or_encode((known.backends, current.backends), change);
+            update.backends = Some((current.backends, compressed));
         }
         if current.members != known.members {
             let cache =
                 if role == Role::Control { &self.encoded.all_members } else { &self.encoded.replicas };
-            let packed = cache.get_or_encode(current.members, || self.membership.borrow().visible_to(role));
-            update.members = Some((current.members, packed));
+            let compressed =
+                cache.get_or_encode(current.members, || self.membership.borrow().visible_to(role));
+            update.members = Some((current.members, compressed));
         }
         update
     }
--- a/agatetrestle/src/cluster/repair.rs
+++ b/agatetrestle/src/cluster/repair.rs
@@ -46,9 +46,9 @@
         let Some(change) = next_change(&replicas, &candidates, &failed, counts) else {
             continue;
         };
-        let verdict = group.change_replicas(change).await;
-        if verdict == ProposalOutcome::Changed {
-            info!("Members of a group changed by {change:?} from {replicas:?}; silent were {failed:?}.");
+        let outcome = group.change_replicas(change).await;
+        if outcome == ProposalOutcome::Changed {
+            info!("Members of a group changed by {change:?} from {replicas:?}; failed voters: {failed:?}.");
         }
     }
 }
--- a/agatetrestle/src/cluster/service.rs
+++ b/agatetrestle/src/cluster/service.rs
@@ -137,7 +137,7 @@
                 let (now, term) = (self.clock.now(), self.group.term());
                 Submission::Applied(encode(&self.admission.borrow_mut().take(now, term, take)))
             }
-            verdict => to_submission(verdict),
+            outcome => to_submission(outcome),
         }
     }
 }
--- a/agatetrestle/src/cluster/subscriber.rs
+++ b/agatetrestle/src/cluster/subscriber.rs
@@ -44,8 +44,8 @@
 const REPORT_LONG_POLL: Duration = Duration::from_millis(500);
 /// Time to wait for the answer to a report before another control replica is tried.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before a report is sent again to a control replica that is unreachable or not the leader.
-const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay before a report is sent again to a control replica that is unreachable or not the leader.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Duration of a search for the leader, after which the addresses are read again from updates and settings.
 const LEADER_SEARCH_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -125,7 +125,7 @@
             if leader != last_leader {
                 match leader {
                     Some(leader) => info!("Control is reached: {leader} leads."),
-                    None => warn!("Control is lost: nobody leads among {:?}.", self.contacts()),
+                    None => warn!("Control is lost: no leader found among {:?}.", self.contacts()),
                 }
                 last_leader = leader;
             }
@@ -153,7 +153,7 @@
     /// Reports to a control replica until it confirms that it is the leader.
     async fn poll_until_leader(&self, contact: SocketAddrV4) -> SocketAddrV4 {
         while !self.report_to(contact).await {
-            Timer::after(LEADER_POLL_INTERVAL).await;
+            Timer::after(REPORT_RETRY_DELAY).await;
         }
         contact
     }
@@ -184,7 +184,7 @@
         let known = self.view.known().members;
         self.view.apply_update(sent, update);
         if self.view.known().members != known {
-            self.learn_addresses();
+            self.add_addresses();
         }
         outcome == ReportOutcome::Confirmed
     }
@@ -196,17 +196,17 @@
         contacts
     }
 
-    fn learn_addresses(&self) {
+    fn add_addresses(&self) {
         for member in self.view.members().iter().filter(|member| member.role != Role::Entry) {
             self.links.add_address(member.node, SocketAddr::V4(member.peer));
         }
     }
 
     async fn send_report(&self, contact: SocketAddrV4) -> Result<Update, ReportError> {
-        let introduction = (self.status_source)();
-        let is_own_address = introduction.member.peer == contact;
+        let status = (self.status_source)();
+        let is_own_address = status.member.peer == contact;
         let long_poll_ms = u32::try_from(REPORT_LONG_POLL.as_millis()).unwrap_or(u32::MAX);
-        let report = Report { introduction, known: self.view.known(), long_poll_ms };
+        let report = Report { introduction: status, known: self.view.known(), long_poll_ms };
         if is_own_address {
             let registry = self.registry.clone().ok_or(ReportError::OwnAddress)?;
             return Ok(registry.report(report).await);
--- a/agatetrestle/src/cluster/tests.rs
+++ b/agatetrestle/src/cluster/tests.rs
@@ -182,7 +182,7 @@
     };
     let encoded: Vec<Compressed> = [1, 1, 1, 2, 2].map(encode_version).into();
     assert_eq!(count.get(), 2, "one encoding per version");
-    assert!(encoded.iter().all(|packed| packed.decompress::<Vec<Member>>().unwrap() == members));
+    assert!(encoded.iter().all(|compressed| compressed.decompress::<Vec<Member>>().unwrap() == members));
     let uncompressed = encode(&members).len();
     assert!(encoded[0].size() * 8 < uncompressed, "{} of {uncompressed} bytes", encoded[0].size());
 }
--- a/agatetrestle/src/cluster/view.rs
+++ b/agatetrestle/src/cluster/view.rs
@@ -174,9 +174,9 @@
 /// Decodes a list of an update if it is newer than the known version. If decoding fails, for example because the sender runs
 /// another version, the list is skipped and its version counts as known.
 fn decode_newer<K: Ord, T: DeserializeOwned>(known: &mut K, list: Option<(K, Compressed)>) -> Option<T> {
-    let (version, packed) = list.filter(|(version, _)| version > known)?;
+    let (version, compressed) = list.filter(|(version, _)| version > known)?;
     *known = version;
-    match packed.decompress() {
+    match compressed.decompress() {
         Ok(list) => Some(list),
         Err(error) => {
             warn!("Could not decode a list of an update: {error}.");
--- a/agatetrestle/src/members/roster.rs
+++ b/agatetrestle/src/members/roster.rs
@@ -17,7 +17,7 @@
 use crate::ports::MemberView;
 
 /// Addresses per answer: one to use and two alternatives, in other failure domains if possible.
-const MAX_ADDRESSES: usize = 3;
+const MAX_CALLER_ADDRESSES: usize = 3;
 
 /// The known nodes, leave notices and position in the digests of the last replica.
 #[derive(Clone, Debug, Default)]
@@ -32,8 +32,8 @@
 }
 
 impl Roster {
-    /// Applies a digest of a control replica and returns the notices that are new. A digest without a lease is ignored, since a
-    /// partitioned replica receives heartbeats of few nodes.
+    /// Applies a digest of a control replica and returns the notices that are new. A digest without a lease is ignored,
+    /// since a partitioned replica receives heartbeats of few nodes.
     pub fn apply_digest(&mut self, from: NodeId, digest: &Digest) -> Vec<LeaveNotice> {
         if digest.lease.is_zero() {
             return Vec::new();
@@ -53,8 +53,8 @@
         added.cloned().collect()
     }
 
-    /// The position of the last digest from a replica. It is zero unless that replica sent the last one, because replicas number
-    /// changes independently, and requests a full digest.
+    /// The position of the last digest, or zero, which requests a full digest, if another replica sent it: replicas number
+    /// changes independently.
     #[must_use]
     pub fn position(&self, replica: NodeId) -> DigestPosition {
         self.position.filter(|(from, _)| *from == replica).map(|(_, position)| position).unwrap_or_default()
@@ -149,13 +149,13 @@
     let mut chosen: Vec<&Heartbeat> = Vec::new();
     for heartbeat in ranked {
         let domain_used = chosen.iter().any(|other| other.failure_domain == heartbeat.failure_domain);
-        if !domain_used && chosen.len() < MAX_ADDRESSES {
+        if !domain_used && chosen.len() < MAX_CALLER_ADDRESSES {
             chosen.push(heartbeat);
         }
     }
     for heartbeat in ranked {
         let selected = chosen.iter().any(|other| other.node == heartbeat.node);
-        if !selected && chosen.len() < MAX_ADDRESSES {
+        if !selected && chosen.len() < MAX_CALLER_ADDRESSES {
             chosen.push(heartbeat);
         }
     }
--- a/agatetrestle/src/members/table.rs
+++ b/agatetrestle/src/members/table.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 struct Row {
     member: NodeRecord,
-    heard_at: Timestamp,
+    received_at: Timestamp,
     /// Number of the last visible change.
     sequence: u64,
 }
@@ -65,11 +65,11 @@
         let node = heartbeat.node;
         match self.rows.get_mut(&node) {
             Some(row) if row.member.heartbeat.incarnation > heartbeat.incarnation => return false,
-            Some(row) if row.member.heartbeat == heartbeat => row.heard_at = now,
+            Some(row) if row.member.heartbeat == heartbeat => row.received_at = now,
             _ => {
                 self.sequence += 1;
                 let member = NodeRecord { heartbeat, state: MemberState::Live };
-                self.rows.insert(node, Row { member, heard_at: now, sequence: self.sequence });
+                self.rows.insert(node, Row { member, received_at: now, sequence: self.sequence });
             }
         }
         true
@@ -100,7 +100,7 @@
     fn update_states(&mut self, now: Timestamp) {
         let retention = self.interval * MAX_SILENT_HEARTBEATS;
         let count = self.rows.len();
-        self.rows.retain(|_, row| now.since(row.heard_at) <= retention);
+        self.rows.retain(|_, row| now.since(row.received_at) <= retention);
         if self.rows.len() < count {
             self.sequence += 1;
             self.last_removal = self.sequence;
@@ -118,7 +118,7 @@
 
 fn member_state(now: Timestamp, interval: Duration, notices: &LeaveNotices, row: &Row) -> MemberState {
     let heartbeat = &row.member.heartbeat;
-    if now.since(row.heard_at) > interval * MAX_MISSED_HEARTBEATS {
+    if now.since(row.received_at) > interval * MAX_MISSED_HEARTBEATS {
         MemberState::Silent
     } else if heartbeat.stopping {
         MemberState::Stopping
