--- a/agatetrestle/src/deployment/backend_list.rs
+++ b/agatetrestle/src/deployment/backend_list.rs
@@ -53,7 +53,7 @@
     Status { status: StatusCode },
 }
 
-/// The entries of all pages.
+/// The list, joined from all pages.
 #[derive(Default)]
 struct InstanceList {
     instances: Vec<Instance>,
@@ -97,7 +97,7 @@
                 Ok(list) => {
                     pages = list.pages;
                     self.registry.set_instances(list.instances);
-                    self.report_malformed(&mut malformed, list.malformed);
+                    self.record_malformed(&mut malformed, list.malformed);
                     if available.replace(true) != Some(true) {
                         info!("The list of backend servers is read.");
                     }
@@ -121,7 +121,7 @@
     }
 
     /// Counts malformed entries, and logs their number when it changes.
-    fn report_malformed(&self, previous: &mut usize, now: usize) {
+    fn record_malformed(&self, previous: &mut usize, now: usize) {
         if now > 0 {
             self.recorder.record_malformed(u64::try_from(now).unwrap_or(u64::MAX));
         }
--- a/agatetrestle/src/deployment/control.rs
+++ b/agatetrestle/src/deployment/control.rs
@@ -44,9 +44,9 @@
 const REFRESH_INTERVAL: Duration = Duration::from_millis(200);
 /// How often a control replica checks for a leader while there is none.
 const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time for which the number of stores must not change before the state groups are founded, so that stores that start
+/// Time for which the number of stores must not change before the state groups are created, so that stores that start
 /// together all take part.
-const FOUNDING_SETTLE_TIME: Duration = Duration::from_secs(1);
+const STORE_COUNT_SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Stores for each state group beyond its voters, so that a lost voter can be replaced by one without a group.
 const SPARE_STORES_PER_GROUP: usize = 1;
 /// Log bytes after which a snapshot is taken.
@@ -82,7 +82,7 @@
     Ok(ReplicaProcess { group, subscriber })
 }
 
-/// Waits for the next refresh, and wakes the held reports at each change of leadership before it.
+/// Waits for the next refresh, and wakes the pending reports at each change of leadership before it.
 async fn wait_for_change(group: &Group<ControlState>, registry: &ClusterRegistry) {
     let mut remaining = REFRESH_INTERVAL;
     while !remaining.is_zero() {
@@ -108,8 +108,8 @@
         let registry = registry.clone();
         Rc::new(move || registry.candidates(Role::Control))
     };
-    let wanted = VoterCounts { target: usize::MAX, min: context.replication_factor() };
-    context.executor.spawn(repair::repair_forever(group.clone(), candidates, wanted)).detach();
+    let counts = VoterCounts { target: usize::MAX, min: context.replication_factor() };
+    context.executor.spawn(repair::repair_forever(group.clone(), candidates, counts)).detach();
     let poller = backend_list::BackendListPoller {
         wire: context.wire.clone(),
         settings: context.settings.backend_list,
@@ -122,7 +122,7 @@
     context.executor.spawn(poller.run()).detach();
     context
         .executor
-        .spawn(found_state_groups(
+        .spawn(create_state_groups(
             group.clone(),
             registry.clone(),
             router.clone(),
@@ -146,7 +146,7 @@
 }
 
 /// Proposes the initial voters of the state groups once enough stores are up and their number is stable.
-async fn found_state_groups(
+async fn create_state_groups(
     group: Rc<Group<ControlState>>,
     registry: Rc<ClusterRegistry>,
     router: Rc<Router>,
@@ -166,14 +166,14 @@
             continue;
         }
         stable_for += REFRESH_INTERVAL;
-        if stable_for < FOUNDING_SETTLE_TIME {
+        if stable_for < STORE_COUNT_SETTLE_TIME {
             continue;
         }
         let groups = initial_voters(stores, group_size);
-        info!("Founding the state groups with initial voters {groups:?}.");
+        info!("Creating the state groups with initial voters {groups:?}.");
         let request = ControlRequest::Command(ControlCommand::Found { groups });
         if let Err(error) = router.submit(encode(&request)).await {
-            warn!("Failed to found the state groups, will retry: {error}.");
+            warn!("Failed to create the state groups, will retry: {error}.");
         }
     }
 }
--- a/agatetrestle/src/deployment/directory.rs
+++ b/agatetrestle/src/deployment/directory.rs
@@ -17,7 +17,7 @@
 
 /// Time for which callers may cache an answer. An entry that stops waits for caches to expire, within its grace period.
 pub(super) const ADDRESS_MAX_AGE: Duration = Duration::from_secs(1);
-const MAX_ADDRESSES: usize = 64;
+const MAX_ENTRY_ADDRESSES: usize = 64;
 /// Callers stay in their failure domain if it has this many ready entries, so that the loss of one leaves another.
 const MIN_LOCAL_ENTRIES: usize = 2;
 
@@ -54,5 +54,5 @@
         members.iter().filter(|member| member.role == Role::Entry && member.ready).collect();
     let local: Vec<&Member> = entries.iter().copied().filter(|entry| &*entry.zone == zone).collect();
     let chosen = if local.len() >= MIN_LOCAL_ENTRIES { local } else { entries };
-    chosen.into_iter().filter_map(|entry| entry.callers).take(MAX_ADDRESSES).collect()
+    chosen.into_iter().filter_map(|entry| entry.callers).take(MAX_ENTRY_ADDRESSES).collect()
 }
--- a/agatetrestle/src/deployment/mod.rs
+++ b/agatetrestle/src/deployment/mod.rs
@@ -83,8 +83,8 @@
         /// Error of the operating system.
         source: io::Error,
     },
-    /// The node id can't be generated, read or written.
-    #[snafu(display("failed to load or create the node id in {}: {source}", folder.display()))]
+    /// The node ID can't be generated, read or written.
+    #[snafu(display("failed to load or create the node ID in {}: {source}", folder.display()))]
     NodeId {
         /// The data folder, or the source of random numbers.
         folder: PathBuf,
@@ -175,7 +175,7 @@
     fn stop(&self) -> LocalBoxFuture<'_, ()>;
 }
 
-/// Returns the id stored in the data folder. An empty folder gets a new id, and so does each start without a folder.
+/// Returns the ID stored in the data folder. An empty folder gets a new ID, and so does each start without a folder.
 fn node_id(settings: &Deployment) -> Result<NodeId, StartError> {
     let process = &settings.process;
     let random_id = || identity::random_id().context(NodeIdSnafu { folder: "/dev/urandom" });
--- a/agatetrestle/src/deployment/operators.rs
+++ b/agatetrestle/src/deployment/operators.rs
@@ -60,7 +60,7 @@
     response
 }
 
-/// The command may or may not have taken effect, or no leader is known; the operator tries again at any replica.
+/// The command may or may not have taken effect, or no leader is known; the operator may retry at any replica.
 fn unavailable(error: &GroupError) -> Response<ResponseBody> {
     text_response(StatusCode::SERVICE_UNAVAILABLE, error.to_string())
 }
--- a/agatetrestle/src/deployment/overview.rs
+++ b/agatetrestle/src/deployment/overview.rs
@@ -21,17 +21,17 @@
 use crate::node::router::submit_remotely;
 use crate::node::service::Submission;
 
-/// Node id of a tool, which is not a member.
+/// Node ID of a tool, which is not a member.
 const TOOL_NODE: NodeId = NodeId(0);
 
-/// No control replica of the settings is the leader.
+/// None of the control replicas in the settings is the leader.
 #[derive(Debug, Snafu)]
 #[snafu(display("no control replica leads: {answers}"))]
 pub struct NoLeaderError {
     answers: Arc<str>,
 }
 
-/// Asks the control replicas of the settings in turn for an overview of the deployment.
+/// Queries the control replicas in the settings in turn for an overview of the deployment.
 ///
 /// # Errors
 ///
--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -58,8 +58,8 @@
 /// A snapshot is taken once the log reaches the maximum size of the state divided by this. A smaller log means more
 /// snapshots, a larger one a longer start.
 const SNAPSHOT_LOG_DIVISOR: usize = 2;
-/// How often a new store checks whether the state groups are founded.
-const FOUNDING_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How often a new store checks whether the state groups are created.
+const CREATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(super) async fn start(context: &ProcessContext) -> Result<ReplicaProcess<TurnState>, NodeError> {
     let replica = Rc::new(StoreReplica::new(context.settings.bounds.allowance));
@@ -74,8 +74,8 @@
     subscriber.report_now();
     let view = context.view.clone();
     let candidates = Rc::new(move || candidates(id, &view));
-    let wanted = VoterCounts { target: context.replication_factor(), min: context.replication_factor() };
-    context.executor.spawn(repair::repair_forever(group.clone(), candidates, wanted)).detach();
+    let counts = VoterCounts { target: context.replication_factor(), min: context.replication_factor() };
+    context.executor.spawn(repair::repair_forever(group.clone(), candidates, counts)).detach();
     Ok(ReplicaProcess { group, subscriber })
 }
 
@@ -83,7 +83,7 @@
 struct StoreReplica {
     /// Set before the replica is opened.
     id: Cell<Option<GroupId>>,
-    /// Whether the store founds no group, so that any group may invite it.
+    /// Whether no group has this store as an initial voter, so that any group may invite it.
     spare: Cell<bool>,
     group: RefCell<Option<Rc<Group<TurnState>>>>,
     /// Used while the replica leads.
@@ -116,8 +116,8 @@
     }
 }
 
-/// Serves other nodes for whichever group this store joins. A message that counts this store as a learner of a group is
-/// an invitation; the leader sends it again until it is answered.
+/// Serves other nodes for any group that this store may join. A message that addresses this store as a learner of a group
+/// is an invitation; the leader sends it again until it is answered.
 fn peer_server(
     context: &ProcessContext,
     replica: &Rc<StoreReplica>,
@@ -269,8 +269,8 @@
     }
 }
 
-/// Opens the replica from its files. A new store waits until the state groups are founded, and if it is not among the
-/// founders until a group invites it.
+/// Opens the replica from its files. A new store waits until the state groups are created, and if it is not an initial voter
+/// of any, until a group invites it.
 async fn open(
     context: &ProcessContext,
     replica: &StoreReplica,
@@ -285,11 +285,11 @@
     let max_bytes = context.memory_bytes() / 10 * STATE_MEMORY_TENTHS;
     let (storage, timing) = (context.storage(max_bytes / SNAPSHOT_LOG_DIVISOR), timing());
     let opener = context.opener(&storage, &timing);
-    let mut founders = None;
+    let mut initial_voters = None;
     let stored = if let Some(stored) = stored_replica(context, &opener).await? {
         stored
-    } else if let Some((id, voters)) = founding_group(context).await {
-        founders = Some(voters);
+    } else if let Some((id, voters)) = initial_group(context).await {
+        initial_voters = Some(voters);
         opener.load(id).await?
     } else {
         replica.spare.set(true);
@@ -300,12 +300,13 @@
     };
     let id = stored.group();
     replica.id.set(Some(id));
-    // The node id is stored before the replica's first file, and an empty disk gets a new id. So a founder with its id but
-    // without files has acknowledged nothing.
-    let missing = if founders.is_some() { MissingFiles::Bootstrap } else { MissingFiles::Join };
-    let founders: Vec<NodeId> = founders.into_iter().flatten().collect();
-    info!("State group {} is opened by {missing:?}; its founders are {founders:?}.", id.0);
-    let local = opener.open_stored(stored, TurnState::with_max_bytes(max_bytes), &founders, missing).await?;
+    // The node ID is stored before the replica's first file, and an empty disk gets a new ID. So an initial voter with its
+    // ID but without files has acknowledged nothing.
+    let missing = if initial_voters.is_some() { MissingFiles::Bootstrap } else { MissingFiles::Join };
+    let initial_voters: Vec<NodeId> = initial_voters.into_iter().flatten().collect();
+    info!("State group {} is opened by {missing:?}; initial voters: {initial_voters:?}.", id.0);
+    let local =
+        opener.open_stored(stored, TurnState::with_max_bytes(max_bytes), &initial_voters, missing).await?;
     local.driver.detach();
     Ok((id, local.group))
 }
@@ -327,13 +328,13 @@
     Ok(None)
 }
 
-/// Waits until control names the founders, and returns the group that this store is a founder of.
-async fn founding_group(context: &ProcessContext) -> Option<(GroupId, BTreeSet<NodeId>)> {
+/// Waits until control has created the state groups, and returns the one that this store is an initial voter of.
+async fn initial_group(context: &ProcessContext) -> Option<(GroupId, BTreeSet<NodeId>)> {
     loop {
-        let founding = context.view.initial_voters();
-        if !founding.is_empty() {
-            return state_groups().zip(founding).find(|(_, voters)| voters.contains(&context.node));
+        let groups = context.view.initial_voters();
+        if !groups.is_empty() {
+            return state_groups().zip(groups).find(|(_, voters)| voters.contains(&context.node));
         }
-        Timer::after(FOUNDING_POLL_INTERVAL).await;
+        Timer::after(CREATION_POLL_INTERVAL).await;
     }
 }
--- a/agatetrestle/src/deployment/tests.rs
+++ b/agatetrestle/src/deployment/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of address lookups, of the founding of state groups and of the routing of turns.
+//! Tests of address lookups, of the initial voters of state groups and of the routing of turns.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -54,14 +54,15 @@
 
 #[test]
 fn spreads_disjoint_groups_over_failure_domains() {
-    for (count, wanted, groups) in [(3, 3, 1), (7, 3, 1), (8, 3, 2), (10, 5, 1), (36, 5, 6), (400, 5, 32)] {
-        let groups_of_voters = initial_voters(stores(count, 5), wanted);
+    for (count, group_size, groups) in [(3, 3, 1), (7, 3, 1), (8, 3, 2), (10, 5, 1), (36, 5, 6), (400, 5, 32)]
+    {
+        let groups_of_voters = initial_voters(stores(count, 5), group_size);
         assert_eq!(groups_of_voters.len(), groups, "{count} stores");
         let all: BTreeSet<NodeId> = groups_of_voters.iter().flatten().copied().collect();
-        assert_eq!(all.len(), groups * wanted);
+        assert_eq!(all.len(), groups * group_size);
         for voters in groups_of_voters {
             let zones: BTreeSet<u64> = voters.iter().map(|node| node.0 % 5).collect();
-            assert_eq!(zones.len(), wanted.min(5));
+            assert_eq!(zones.len(), group_size.min(5));
         }
     }
 }
--- a/agatetrestle/src/deployment/turns.rs
+++ b/agatetrestle/src/deployment/turns.rs
@@ -45,7 +45,7 @@
 /// Sends commands to the state group of their program.
 pub(super) struct TurnRouter {
     parts: TurnRouterParts,
-    /// One router for each group, by ascending group id; empty until the groups are known.
+    /// One router for each group, by ascending group ID; empty until the groups are known.
     routers: RefCell<Vec<Rc<Router>>>,
 }
 
@@ -167,7 +167,7 @@
     decode(&reply).map_err(|error| GroupError::Unknown { reason: error.to_string().into() })
 }
 
-/// Fetches the chain of a turn from whichever group holds it; empty if every group answers that it has none.
+/// Fetches the chain of a turn from the group that holds it; empty if every group answers that it has none.
 async fn fetch_chain<'a>(
     routers: impl Iterator<Item = &'a Rc<Router>>,
     last: &TurnId,
