--- a/agatetrestle/src/cluster/message.rs
+++ b/agatetrestle/src/cluster/message.rs
@@ -147,6 +147,6 @@
     NotAsked,
     /// The store is still a voter of a group, or a group has too few voters.
     Running,
-    /// No group needs the VM any more.
+    /// No group needs the VM.
     Done,
 }
--- a/agatetrestle/src/node/heartbeats.rs
+++ b/agatetrestle/src/node/heartbeats.rs
@@ -56,7 +56,7 @@
     pub dispatcher: Rc<Dispatcher>,
     /// The members known to this node.
     pub roster: RefCell<Roster>,
-    /// Whether a planned stop is under way.
+    /// Whether a planned stop is in progress.
     pub stopping: Rc<Cell<bool>>,
     /// The process's clock.
     pub clock: Clock,
--- a/agatetrestle/src/node/replicas.rs
+++ b/agatetrestle/src/node/replicas.rs
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Returns a source that asks the other holders of a group in turn.
+    /// Returns a source that queries the other holders of a group in turn.
     fn history_source(&self, group: GroupId, holders: &[NodeId]) -> HistorySource {
         let own = self.node;
         let others: Vec<NodeId> = holders.iter().copied().filter(|holder| *holder != own).collect();
--- a/agatetrestle/src/node/router.rs
+++ b/agatetrestle/src/node/router.rs
@@ -30,7 +30,7 @@
 /// Limit of the exponential backoff from [`RETRY_DELAY`]. All nodes retry at the same time when a leader is lost, and
 /// without backoff they would overload the group.
 const MAX_RETRY_DOUBLINGS: u32 = 2;
-/// Time without an answer after which the other holders are asked for the leader. Longer than a commit, and shorter than
+/// Time without an answer after which the other holders are queried for the leader. Longer than a commit, and shorter than
 /// the timeout of an attempt.
 const SEARCH_DELAY: Duration = Duration::from_millis(100);
 
--- a/agatetrestle/src/transport/accept.rs
+++ b/agatetrestle/src/transport/accept.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the next connection, closing those that exceed the limit. `max_connections` is called for each
-    /// connection, since the limit may change meanwhile.
+    /// connection, since the limit may change in between.
     pub async fn accept(
         &self,
         listener: &TcpListener,
--- a/agatetrestle/src/transport/connection_state.rs
+++ b/agatetrestle/src/transport/connection_state.rs
@@ -21,7 +21,7 @@
 use crate::transport::body::TruncatedBody;
 use crate::transport::observed::ReadObserver;
 
-/// Responses under way and the start of an incomplete request head.
+/// Responses in progress and the start of an incomplete request head.
 pub(super) struct ConnectionState {
     clock: Clock,
     /// Number of unfinished responses.
