--- a/agatetrestle/src/transport/accept.rs
+++ b/agatetrestle/src/transport/accept.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the next connection, closing those that exceed the limit. `max_connections` is called for each
-    /// connection, since the limit may change meanwhile.
+    /// connection, since the limit may change in between.
     pub async fn accept(
         &self,
         listener: &TcpListener,
@@ -62,8 +62,8 @@
                         self.open_connections()
                     );
                 }
-                Err(failure) => {
-                    warn!("Failed to accept a connection from {}: {failure}.", self.peer);
+                Err(error) => {
+                    warn!("Failed to accept a connection from {}: {error}.", self.peer);
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
--- a/agatetrestle/tests/store_memory.rs
+++ b/agatetrestle/tests/store_memory.rs
@@ -140,7 +140,7 @@
         drop(store.group);
         let store = open_store(&folder.0, &executor).await;
         assert!(
-            store.group.machine(|turns| turns.holdings().bytes) > MAX_TURN_BYTES,
+            store.group.machine(|turns| turns.usage().bytes) > MAX_TURN_BYTES,
             "the restart must restore the turns"
         );
         let peak = limit_ratio(ALLOCATOR.max_allocated() - start);
