--- a/agatetrestle/src/deployment/mod.rs
+++ b/agatetrestle/src/deployment/mod.rs
@@ -133,7 +133,7 @@
     let node = node_id(&settings)?;
     let links = Links::new(node, PEER_CALL_TIMEOUT, &executor);
     let process = &settings.process;
-    info!("Start of {:?} {} as node {}, founding={}.", process.role, process.vm, node.0, settings.founding);
+    info!("Starting {:?} {} as node {}, founding={}.", process.role, process.vm, node.0, settings.founding);
     let context = ProcessContext {
         settings_path: settings_path.to_path_buf(),
         wire,
--- a/agatetrestle/src/deployment/store.rs
+++ b/agatetrestle/src/deployment/store.rs
@@ -294,7 +294,7 @@
     } else {
         replica.spare.set(true);
         subscriber.report_now();
-        info!("The store is spare until a state group takes it in.");
+        info!("The store is spare; waiting for an invitation from a state group.");
         // The sender lives as long as the process.
         opener.load(invitations.recv().await.unwrap_or(FIRST_STATE_GROUP)).await?
     };
@@ -304,7 +304,10 @@
     // ID but without files has acknowledged nothing.
     let missing = if initial_voters.is_some() { MissingFiles::Bootstrap } else { MissingFiles::Join };
     let initial_voters: Vec<NodeId> = initial_voters.into_iter().flatten().collect();
-    info!("State group {} is opened by {missing:?}; initial voters: {initial_voters:?}.", id.0);
+    info!(
+        "Opening replica of state group {} (if files are missing: {missing:?}); initial voters: {initial_voters:?}.",
+        id.0
+    );
     let local =
         opener.open_stored(stored, TurnState::with_max_bytes(max_bytes), &initial_voters, missing).await?;
     local.driver.detach();
--- a/agatetrestle/src/deployment/turns.rs
+++ b/agatetrestle/src/deployment/turns.rs
@@ -98,7 +98,11 @@
         if carried.is_empty() || carried.iter().any(|turn| !turn.is_open_to(&begin.team)) {
             return Ok(first);
         }
-        info!("turn={} goes on from {previous} of another group, {} turns.", begin.turn, carried.len());
+        info!(
+            "turn={} continues {previous}; fetched {} turns from another group.",
+            begin.turn,
+            carried.len()
+        );
         request(&routers[own_group], TurnCommand::Begin(Begin { carried, ..begin })).await
     }
 
