--- a/agatetrestle/src/placing/cost.rs
+++ b/agatetrestle/src/placing/cost.rs
@@ -96,7 +96,7 @@
         if !self.imports {
             return (Fetch::None, 0);
         }
-        match request.place {
+        match request.prefix_location {
             PrefixLocation::Cached(from) if from != key => {
                 (Fetch::Move(from), request.own_tokens.min(missing))
             }
--- a/agatetrestle/src/placing/mod.rs
+++ b/agatetrestle/src/placing/mod.rs
@@ -29,7 +29,7 @@
     /// Tokens that can be imported, because the prefix of the program or of its root has been exported.
     pub exported_tokens: u64,
     /// Location of the program's own tokens.
-    pub place: PrefixLocation,
+    pub prefix_location: PrefixLocation,
     /// Server of the program's last call.
     pub last_server: Option<BackendKey>,
     /// Server of the last call of its root program.
--- a/agatetrestle/src/scheduler/core/dispatch.rs
+++ b/agatetrestle/src/scheduler/core/dispatch.rs
@@ -253,7 +253,7 @@
         own_tokens: program.map_or(0, Program::own_tokens),
         shared_tokens: program.map_or(0, |program| program.shared_tokens),
         exported_tokens,
-        place: program.map(|program| program.prefix_location).unwrap_or_default(),
+        prefix_location: program.map(|program| program.prefix_location).unwrap_or_default(),
         last_server: program.and_then(|program| program.last_server),
         root_server: root.and_then(|root| root.last_server),
         waited: now.since(entry.submitted),
