--- a/agatetrestle/src/gateway/attempt.rs
+++ b/agatetrestle/src/gateway/attempt.rs
@@ -28,7 +28,7 @@
 
 /// Percentage of the route's latency objective after which a retryable request is sent to another server.
 const ATTEMPT_TIMEOUT_PERCENT: u32 = 130;
-/// Percentage of the route's latency objective that must pass before the server of a stream counts as silent.
+/// Percentage of the route's latency objective that must pass before the server of a stream may count as unresponsive.
 const MIN_SILENCE_PERCENT: u32 = 130;
 /// How often a stream that has not started is checked after that.
 const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -92,7 +92,7 @@
             .map_or(SendOutcome::TimedOut, SendOutcome::Started)
     };
     let response = match outcome {
-        SendOutcome::Silent => {
+        SendOutcome::Unresponsive => {
             slot.release(RequestOutcome::Unresponsive);
             return Err(SendFailure::MayHaveRun("the server says nothing while others answer".into()));
         }
@@ -124,7 +124,7 @@
     /// The response started, or sending failed.
     Started(Result<Response<Incoming>, SendError>),
     /// The server sent nothing while others of its service responded.
-    Silent,
+    Unresponsive,
     /// The timeout elapsed.
     TimedOut,
 }
@@ -160,7 +160,7 @@
                 self.sent_at,
                 min_silence,
             ) {
-                return SendOutcome::Silent;
+                return SendOutcome::Unresponsive;
             }
             pause = SILENCE_POLL_INTERVAL.min(left);
         }
--- a/agatetrestle/src/gateway/mod.rs
+++ b/agatetrestle/src/gateway/mod.rs
@@ -206,7 +206,7 @@
                 }
                 Decision::DropConnections { address } => self.client.close_idle(address),
                 Decision::Eject { server, until, failure_rate } => {
-                    self.log_suspect(server, until, failure_rate);
+                    self.log_ejection(server, until, failure_rate);
                 }
             }
         }
@@ -224,10 +224,12 @@
         }
     }
 
-    fn log_suspect(&self, server: ServerKey, until: Timestamp, usual: f64) {
+    fn log_ejection(&self, server: ServerKey, until: Timestamp, failure_rate: f64) {
         if let Some((id, address)) = self.address(server) {
             let rest_ms = until.since(self.clock.now()).as_millis();
-            warn!("server={id} address={address} is suspected: rest_ms={rest_ms} usual_failures={usual:.4}.");
+            warn!(
+                "server={id} address={address} is suspected: rest_ms={rest_ms} usual_failures={failure_rate:.4}."
+            );
         }
     }
 
--- a/agatetrestle/src/gateway/reserve.rs
+++ b/agatetrestle/src/gateway/reserve.rs
@@ -1,4 +1,4 @@
-//! Reserves turns and charges team allowances at the state groups before a request is sent.
+//! Reserves turns and charges requests to team rate limits at the state groups before a request is sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,13 +25,13 @@
     ctx.route.is_streaming() && ctx.metadata.program.is_some() && tracked
 }
 
-fn has_allowance(ctx: &RequestContext) -> bool {
+fn has_rate_limit(ctx: &RequestContext) -> bool {
     ctx.team.as_ref().is_some_and(|team| team.rate_limit.is_some())
 }
 
-/// Charges the team's allowance for a request that reserves no turn.
+/// Charges a request that reserves no turn to its team's rate limit.
 pub(super) async fn charge_team(gateway: &Rc<Gateway>, ctx: &RequestContext) -> Result<(), ErrorResponse> {
-    if !has_allowance(ctx) {
+    if !has_rate_limit(ctx) {
         return Ok(());
     }
     let command = TurnCommand::Take(Take {
@@ -57,7 +57,7 @@
         service: ctx.service.clone(),
         route: ctx.route.name.clone(),
         places: gateway.dispatch.borrow().total_slots(&ctx.service),
-        charge: has_allowance(ctx),
+        charge: has_rate_limit(ctx),
         patience: millis(ctx.deadline.since(gateway.clock.now())),
         finish_in: ctx.metadata.finish_in.map(millis),
         begins: !ctx.program_started,
--- a/agatetrestle/src/gateway/slot.rs
+++ b/agatetrestle/src/gateway/slot.rs
@@ -12,8 +12,8 @@
 use crate::dispatch::ServerKey;
 use crate::gateway::Gateway;
 
-/// A slot held by a request. Dropping it unreleased counts as silence of the server if the response is overdue, else
-/// as abandoned by this node.
+/// A slot held by a request. Dropping it unreleased reports the server as unresponsive if the response is
+/// overdue, else the request as cancelled.
 pub(super) struct ServerSlot {
     gateway: Rc<Gateway>,
     pub(super) server: ServerKey,
@@ -94,7 +94,7 @@
 impl Drop for ServerSlot {
     fn drop(&mut self) {
         let now = self.gateway.clock.now();
-        let silent = self.response_due.is_some_and(|due| now > due);
-        self.finish(if silent { RequestOutcome::Unresponsive } else { RequestOutcome::Cancelled });
+        let overdue = self.response_due.is_some_and(|due| now > due);
+        self.finish(if overdue { RequestOutcome::Unresponsive } else { RequestOutcome::Cancelled });
     }
 }
--- a/agatetrestle/src/gateway/wire.rs
+++ b/agatetrestle/src/gateway/wire.rs
@@ -132,7 +132,7 @@
     fn read_operator_request(&self, method: &Method, path: &str, body: &[u8]) -> Option<OperatorRequest>;
 
     /// Serializes the progress of draining a VM.
-    fn write_drain_status(&self, emptying: DrainStatus) -> Vec<u8>;
+    fn write_drain_status(&self, status: DrainStatus) -> Vec<u8>;
 
     /// Parses an address lookup; `None` for any other path.
     fn read_lookup(&self, uri: &Uri) -> Option<Lookup>;
