--- a/agatetrestle/src/allowance/bucket.rs
+++ b/agatetrestle/src/allowance/bucket.rs
@@ -65,9 +65,9 @@
     }
 
     /// Sets the limit. The bucket grants at most `capacity + rate * window` requests in any window.
-    pub(super) fn set_limit(&mut self, now: Timestamp, allowance: RateLimit, bounds: AllowanceBounds) {
+    pub(super) fn set_limit(&mut self, now: Timestamp, limit: RateLimit, bounds: AllowanceBounds) {
         self.advance(now);
-        let RateLimit { per_second, burst } = allowance;
+        let RateLimit { per_second, burst } = limit;
         let permitted = per_second * bounds.window.as_secs_f64() + burst;
         let overrun = permitted * bounds.overrun + f64::from(bounds.slack);
         self.rate = per_second;
--- a/agatetrestle/src/allowance/mod.rs
+++ b/agatetrestle/src/allowance/mod.rs
@@ -69,10 +69,10 @@
         let bounds = self.bounds;
         let mut previous = std::mem::take(&mut self.teams);
         let buckets = teams.iter().map(|team| {
-            let bucket = team.rate_limit.map(|allowance| {
+            let bucket = team.rate_limit.map(|limit| {
                 let existing = previous.remove(&team.name).flatten();
                 let mut bucket = existing.unwrap_or_else(|| TokenBucket::new(now));
-                bucket.set_limit(now, allowance, bounds);
+                bucket.set_limit(now, limit, bounds);
                 bucket
             });
             (team.name.clone(), bucket)
--- a/agatetrestle/src/allowance/tests.rs
+++ b/agatetrestle/src/allowance/tests.rs
@@ -12,8 +12,8 @@
 const RED: &str = "red";
 
 fn team(name: &str, per_second: f64) -> Arc<Team> {
-    let allowance = Some(RateLimit { per_second, burst: per_second }).filter(|_| per_second > 0.0);
-    Arc::new(Team { name: name.into(), keys: Vec::new(), priority: 1, rate_limit: allowance })
+    let rate_limit = Some(RateLimit { per_second, burst: per_second }).filter(|_| per_second > 0.0);
+    Arc::new(Team { name: name.into(), keys: Vec::new(), priority: 1, rate_limit })
 }
 
 fn limiter(per_second: f64) -> RateLimiter {
--- a/agatetrestle/src/dispatch/mod.rs
+++ b/agatetrestle/src/dispatch/mod.rs
@@ -1,7 +1,7 @@
 //! Dispatch of queued requests to backend servers, and rejection of those that can't be served in time.
 //!
-//! Every node decides on its own, from the requests that it has sent and the loads that responses report. The slice
-//! is pure: time is an argument. The rules are described in docs/design/012-a-deployment-of-three-roles.md.
+//! Every node decides on its own, from the requests that it has sent and the loads that responses report. The module
+//! does no I/O and takes the time as an argument. The rules are described in docs/design/012-a-deployment-of-three-roles.md.
 
 mod choice;
 mod decision;
@@ -385,7 +385,7 @@
         decisions
     }
 
-    /// Time until a server of the service that is not excluded accepts requests; none if there is no such server.
+    /// Time until a server of the service that is not excluded accepts requests; `None` if there is no such server.
     fn time_until_available(
         &self,
         now: Timestamp,
--- a/agatetrestle/src/dispatch/server.rs
+++ b/agatetrestle/src/dispatch/server.rs
@@ -141,7 +141,7 @@
         self.instance.service == *service
     }
 
-    /// Time until its backoff ends; none if it accepts no more requests.
+    /// Time until its backoff ends; `None` if it accepts no more requests.
     pub(super) fn backoff_left(&self, now: Timestamp) -> Option<Duration> {
         (self.listed && !self.instance.leaving).then(|| self.backoff_until.since(now))
     }
@@ -160,7 +160,7 @@
     }
 
     /// Whether it is known to be full, with `overcommit` beyond its slots. An expired load report is ignored: a node that
-    /// went by it would send nothing and never receive a newer one.
+    /// relied on it would send nothing and never receive a newer one.
     pub(super) fn is_full(&self, now: Timestamp, load_ttl: Duration, overcommit: bool) -> bool {
         let slots = f64::from(self.instance.slots);
         self.known_load(now, load_ttl) >= if overcommit { slots * (1.0 + OVERCOMMIT_RATIO) } else { slots }
--- a/agatetrestle/src/retention/cache_usage.rs
+++ b/agatetrestle/src/retention/cache_usage.rs
@@ -31,7 +31,7 @@
         self.set_held(program, program.computed);
     }
 
-    /// Records that the engine was told to release or export the program's tokens.
+    /// Records that the engine was ordered to release or export the program's tokens.
     pub fn record_release(&mut self, program: &mut ProgramCacheUsage) {
         self.set_held(program, 0);
     }
--- a/agatetrestle/src/routing/mod.rs
+++ b/agatetrestle/src/routing/mod.rs
@@ -64,7 +64,7 @@
     pub targets: Vec<RouteTarget>,
     /// Maximum number of backend servers that one request may run on.
     pub max_attempts: u32,
-    /// How long a completed turn is kept for later turns to continue from, if the route keeps turns.
+    /// How long a completed turn is retained for later turns to continue from, if the route retains turns.
     pub retention: Option<Duration>,
     /// Whether requests that share a prompt prefer the same replica.
     pub sticky: bool,
@@ -109,7 +109,7 @@
     routes: Vec<Arc<Route>>,
     services: BTreeMap<Arc<str>, Service>,
     by_host: RouteIndex,
-    /// None if requests need no API key.
+    /// `None` if requests need no API key.
     teams: Option<Teams>,
 }
 
--- a/agatetrestle/src/turns/limiter.rs
+++ b/agatetrestle/src/turns/limiter.rs
@@ -225,8 +225,8 @@
     }
 
     fn begin(&mut self, now: Timestamp, name: &Arc<str>, route: &Arc<str>) {
-        let vacant = || Program { route: route.clone(), open_turns: 0, last_active: now };
-        let program = self.programs.entry(name.clone()).or_insert_with(vacant);
+        let new_program = || Program { route: route.clone(), open_turns: 0, last_active: now };
+        let program = self.programs.entry(name.clone()).or_insert_with(new_program);
         let route = self.routes.entry(program.route.clone()).or_default();
         route.open_turns += 1;
         // An idle program is already counted.
--- a/agatetrestle/src/turns/tests/burst.rs
+++ b/agatetrestle/src/turns/tests/burst.rs
@@ -108,7 +108,7 @@
     entry: usize,
     expires: u64,
     sent_at: u64,
-    avoid: Vec<ServerKey>,
+    excluded: Vec<ServerKey>,
 }
 
 /// Outcomes of the programs that started in one second.
@@ -274,7 +274,7 @@
                 entry,
                 expires: now + TURN_TIMEOUT_US,
                 sent_at: now,
-                avoid: Vec::new(),
+                excluded: Vec::new(),
             },
         );
         self.schedule(now + COMMIT_DELAY_US, Event::Dispatch { ticket });
@@ -306,7 +306,7 @@
             deadline: Timestamp(turn.expires),
             finish_by: Timestamp(program.deadline),
             affinity: Some(turn.program as u64),
-            excluded: turn.avoid.clone(),
+            excluded: turn.excluded.clone(),
         };
         let decisions = self.entries[entry].submit(Timestamp(now), request);
         self.apply(now, entry, decisions);
@@ -383,7 +383,7 @@
         };
         let entry = turn.entry;
         let key = self.server_keys[entry][engine];
-        turn.avoid.push(key);
+        turn.excluded.push(key);
         let load = ServerLoad { running: load.0, waiting: load.1 };
         self.entries[entry].record_load(Timestamp(now), key, load);
         let outcome = if full {
@@ -404,7 +404,7 @@
         let Some(turn) = self.turns.get(&ticket) else {
             return;
         };
-        if turn.avoid.len() < 4 {
+        if turn.excluded.len() < 4 {
             self.dispatch(now, ticket);
         } else if let Some(turn) = self.fail_turn(now, ticket) {
             self.retry(now, turn.program, turn.attempts, turn.subagent_turns, 300 * MILLISECOND);
@@ -450,7 +450,7 @@
             let before = self.entries[entry].waiting();
             self.entries[entry].cancel(ticket);
             if before == self.entries[entry].waiting()
-                && let Some(key) = turn.avoid.last()
+                && let Some(key) = turn.excluded.last()
             {
                 let decisions = self.entries[entry].finish(Timestamp(now), *key, RequestOutcome::Cancelled);
                 self.apply(now, entry, decisions);
